--- a/src/sablemount/control/commit.py
+++ b/src/sablemount/control/commit.py
@@ -1,4 +1,4 @@
-"""Appends the leader's batches, a few at once, until each has a definite answer."""
+"""Pipelined appends of the leader's batches, each retried until its outcome is known."""
 
 import asyncio
 import logging
@@ -7,7 +7,7 @@
 from typing import Any
 
 from sablemount.control.clock import monotonic
-from sablemount.control.lost_writes import Answer, LostWrites
+from sablemount.control.lost_writes import Answer, LostWriteDetector
 from sablemount.control.store import (
     Appended,
     Fenced,
@@ -22,57 +22,60 @@
 __all__ = ["Committer", "GivenUp", "LostLeadership"]
 
 PRODUCER = "leader"
-TRY_TIMEOUT = 2.0
-"""Seconds that one try waits for its answer: the store refuses what would wait longer."""
-FIRST_INTERVAL = 0.15
-"""Seconds after which an append is sent again at the earliest: 40 times a usual answer's time."""
-MAX_INTERVAL = 1.0
-"""Seconds between two tries at most."""
-FIRST_MAX_INTERVAL = 0.35
-"""The same for the append that all others wait for: the end of an outage is seen by it."""
-SILENT_AFTER = 0.6
-"""Seconds without any answer after which the store counts as silent, and not as slow. A store that
-is 100 times slower than usual (4 ms) still answers one append after the other in less."""
-UNUSUAL_FACTOR = 3.0
-SLOW_FACTOR = 2.0
-"""An answer that is due for less than this many times the usual time is not owed yet. What was sent
-to a slow store is due for a while as it gets well: without this, 4 of 33 emulated leaders were
-replaced then."""
-UNUSUAL_LEAST = 0.1
-"""An answer is unusually late after this many times the usual time, and these seconds at least: a
-second one in flight then tells no more, and what is in it could not be taken back."""
-MAX_TRIES_AT_ONCE = 2
-"""Tries of one append in flight: the store takes them in turn, so that more make it slower."""
-LOSSY_INTERVAL = 0.03
-"""Seconds after which an append is sent again while writes are lost. With every other write lost a
-job was accepted in 0.7 s at the median with the longer interval, in 0.1 s with this one."""
-LOSSY_TIMEOUT = 0.3
-"""Seconds that a try waits for its answer then: 70 times a usual one."""
-LOSSY_TRIES_AT_ONCE = 8
-"""Tries of one append in flight then."""
-GUESSED_TRIES_AT_ONCE = 2
-"""The same for the append that all others wait for, as long as only quick reads tell that."""
-SILENT_TRIES_AT_ONCE = 6
-"""The same for the append that all others wait for, while the store is silent."""
-LEAST_JITTER = 0.8
-"""Least share of an interval that is waited for, drawn anew each time."""
-WORD_DELAY = 1.0
-"""Seconds after it was sent up to which an answer counts from when it came. A later one is older
-than it looks: orders go on for 1.5 s, and a new leader waits 2.5 s for them to end."""
+ATTEMPT_TIMEOUT_S = 2.0
+"""How long one attempt waits for its answer: the store refuses what would wait longer."""
+MIN_RETRY_INTERVAL_S = 0.15
+"""Shortest interval before an append is retried: 40 times the usual response time."""
+MAX_RETRY_INTERVAL_S = 1.0
+"""Longest interval between two attempts."""
+MAX_OLDEST_RETRY_INTERVAL_S = 0.35
+"""Same for the oldest append, which all others wait for: its answer shows the end of an outage."""
+SILENT_AFTER_S = 0.6
+"""How long the store may answer nothing before it counts as silent rather than slow. A store that
+is 100 times slower than usual (4 ms) still answers consecutive appends in less time."""
+LATE_FACTOR = 3.0
+MIN_REPORTED_FACTOR = 2.0
+"""Silence shorter than this many usual response times is not reported to members. While a slow
+store recovers, requests sent to it stay overdue for a moment: without this allowance, 4 of 33
+simulated leaders were replaced at that point."""
+MIN_LATE_S = 0.1
+"""An answer is late after ``LATE_FACTOR`` times the usual time, and after this time at least. No
+further append is sent then: it would give no new information, and its records could no longer be
+withdrawn."""
+MAX_ATTEMPTS = 2
+"""Attempts of one append in flight: the store processes them serially, so more slow it down."""
+LOSSY_RETRY_INTERVAL_S = 0.03
+"""Retry interval while the store loses writes. With every other write lost, the median time to
+accept a job is 0.1 s with this interval and 0.7 s with ``MIN_RETRY_INTERVAL_S``."""
+LOSSY_ATTEMPT_TIMEOUT_S = 0.3
+"""Attempt time-out while the store loses writes: 70 times the usual response time."""
+LOSSY_MAX_ATTEMPTS = 8
+"""Attempts of one append in flight while the store is known to lose writes."""
+SUSPECTED_LOSSY_MAX_ATTEMPTS = 2
+"""Same for the oldest append while the only evidence of lost writes is a quick read."""
+SILENT_MAX_ATTEMPTS = 6
+"""Same for the oldest append while the store is silent."""
+MIN_JITTER = 0.8
+"""Smallest random share of a retry interval that is waited."""
+MAX_CONFIRMATION_DELAY_S = 1.0
+"""An answer confirms the leadership as of its arrival, but at most this long after its request was
+sent: the store may have given a late answer much earlier. Start requests stay valid for 1.5 s, and
+a new leader waits 2.5 s for them to expire."""
 UPLINK_SHARE = 0.5
-"""Share of the own link that appends have at least: answers and orders need the rest."""
-MAX_PAUSE = 0.2
-"""Seconds after a refusal until the next try at most."""
+"""Share of this machine's uplink that appends are assumed to get at least; replies and requests to
+VMs use the rest."""
+MAX_REFUSAL_PAUSE_S = 0.2
+"""Longest pause between a refusal and the next attempt."""
 FIRST_SEQUENCE = 0
 BY_ANSWER = "its answer"
 BY_NUMBER = "the number that the store wants next"
-BY_LATER = "a later append that is done"
+SETTLED_BY_LATER_APPEND = "a later append that is done"
 
 _logger = logging.getLogger("sablemount.control.commit")
 
 
 class LostLeadership(Exception):
-    """A later leader has written."""
+    """The store has accepted a write of a later leader."""
 
     def __init__(self, epoch: int) -> None:
         super().__init__(f"fenced by epoch {epoch}")
@@ -80,20 +83,21 @@
 
 
 class GivenUp(Exception):
-    """An append that was waited for will not be done: the leadership ends."""
+    """An append that was awaited has been abandoned because the leadership ends."""
 
     def __init__(self) -> None:
-        super().__init__("an append was given up")
+        super().__init__("append abandoned: the leadership has ended")
 
 
 class Committer:
-    """Writes under one epoch; a few appends may be on their way at once.
-
-    The store takes them in the order of their sequence numbers, so that one that is done tells that
-    all earlier ones are. It lets an epoch's records begin at any number, though, so that this holds
-    only once the first batch is there. ``good_at`` is when the store last took something (local
-    time). ``uplink`` is how many bytes the own link carries a second, 0 without a limit: nothing is
-    late, lost or sent again while it may still be on its way there.
+    """Appends batches under one epoch, with a few appends in flight at once.
+
+    The store accepts them in the order of their sequence numbers, so a completed append implies
+    that all earlier ones are complete. But the store lets an epoch begin at any sequence number, so
+    this holds only once the first batch is stored. ``last_settled_at`` is the local time at which
+    an append last completed. ``uplink`` is the rate of this machine's uplink in bytes per second, 0
+    if unlimited: no append is considered late or lost, or sent again, while it may still be in
+    transmission.
     """
 
     def __init__(self, store: Store, epoch: int, rng: random.Random, uplink: float = 0.0) -> None:
@@ -102,280 +106,299 @@
         self._epoch = epoch
         self._rng = rng
         self._sequence = FIRST_SEQUENCE
-        self._begun: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        """Done once the first batch is in the store, cancelled once it will not be."""
-        self._losses = LostWrites(store)
-        self._open: list[_Open] = []
+        self._first_batch: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        """Done once the first batch is stored, cancelled once it is known to fail."""
+        self._loss_detector = LostWriteDetector(store)
+        self._pending: list[_PendingAppend] = []
         self._settled_at = -1e9
-        """When an append was last known to be done."""
-        self.good_at = -1e9
+        """Local time at which an append was last known to be complete."""
+        self.last_settled_at = -1e9
         self.confirmed_at = -1e9
-        """When the store last said under this epoch that nobody else led (local time)."""
+        """Local time at which the store last confirmed that no later epoch has written."""
         self.end: int | None = None
-        """Where the topic ended after the newest append that was answered."""
+        """End offset of the topic after the latest answered append."""
 
     @property
-    def waiting_since(self) -> float:
-        """Return when the oldest append without an answer was sent; before all times if none."""
-        return min((entry.since for entry in self._open), default=-1e9)
+    def oldest_sent_at(self) -> float:
+        """Return when the oldest unanswered append was first sent, or a negative time if none."""
+        return min((entry.first_sent_at for entry in self._pending), default=-1e9)
 
     def silent(self) -> bool:
-        """Tell whether the store has answered nothing for some time though it was asked."""
-        return self.unanswered_for() > SILENT_AFTER
-
-    def unusual(self) -> bool:
-        """Tell whether the next answer is late beside those before."""
-        return self.unanswered_for() > max(UNUSUAL_LEAST, UNUSUAL_FACTOR * self._losses.usual)
-
-    def unanswered_for(self) -> float:
-        """Return for how many seconds an answer has been due and none has come."""
-        since = self.waiting_since
-        if since <= 0:
+        """Return whether requests to the store have gone unanswered for ``SILENT_AFTER_S``."""
+        return self.unanswered_seconds() > SILENT_AFTER_S
+
+    def is_answer_late(self) -> bool:
+        """Return whether the next answer is late compared with previous ones."""
+        return self.unanswered_seconds() > max(
+            MIN_LATE_S, LATE_FACTOR * self._loss_detector.usual_s
+        )
+
+    def unanswered_seconds(self) -> float:
+        """Return for how many seconds the store has answered nothing while an append is pending."""
+        first_sent_at = self.oldest_sent_at
+        if first_sent_at <= 0:
             return 0.0
-        return max(0.0, monotonic() - max(since, self.good_at) - self._on_the_way())
+        return max(
+            0.0, monotonic() - max(first_sent_at, self.last_settled_at) - self._uplink_delay()
+        )
 
-    def _on_the_way(self) -> float:
-        """Return the seconds that the link needs for what has no answer."""
+    def _uplink_delay(self) -> float:
+        """Return the seconds that the uplink needs to transmit all unanswered appends."""
         if not self._uplink:
             return 0.0
-        return sum(entry.size for entry in self._open) / (UPLINK_SHARE * self._uplink)
+        return sum(entry.size for entry in self._pending) / (UPLINK_SHARE * self._uplink)
 
     def owed_for(self) -> float:
-        """Return for how many seconds the store has owed an answer, as members are told.
+        """Return for how many seconds the store has been silent, as reported to members.
 
-        A store that loses writes, or is slow, is there: another leader would have it no better.
+        A store that loses writes or is slow counts as available, since it would serve another
+        leader no better.
         """
-        owed = self.unanswered_for()
-        slow = owed < SLOW_FACTOR * self._losses.usual
-        return 0.0 if slow or self._losses.happen() else owed
+        silence = self.unanswered_seconds()
+        is_slow = silence < MIN_REPORTED_FACTOR * self._loss_detector.usual_s
+        return 0.0 if is_slow or self._loss_detector.is_lossy() else silence
 
     @property
     def in_flight(self) -> int:
-        """Return how many appends have no answer yet."""
-        return len(self._open)
+        """Return the number of unanswered appends."""
+        return len(self._pending)
 
     async def open(self) -> None:
-        """Set the epoch, so that no former leader writes any more."""
+        """Fence all previous leaders by writing under the new epoch."""
         await self.confirm()
 
     async def confirm(self) -> None:
-        """Make sure that no later leader has written; nothing else may be in flight."""
-        await self._settle([], self._sequence)
+        """Check that no later leader has written; no other append may be in flight."""
+        await self._append_until_settled([], self._sequence)
 
     async def append(self, records: list[Record]) -> None:
-        """Append one batch; returns once it is in the store."""
+        """Append one batch and return once it is stored."""
         if not records:
-            # An append without records uses up no sequence number.
-            await self._settled()
+            # An append without records consumes no sequence number.
+            await self._wait_for_pending()
             return
         sequence = self._sequence
         self._sequence += 1
-        await self._settle(records, sequence)
+        await self._append_until_settled(records, sequence)
 
-    async def _settled(self) -> None:
-        """Wait until what is in flight is in the store, or ask the store if nothing is."""
-        waiting = [entry.done for entry in self._open]
+    async def _wait_for_pending(self) -> None:
+        """Wait until all appends in flight are stored, or query the store if there are none."""
+        waiting = [entry.done for entry in self._pending]
         if not waiting:
             await self.confirm()
             return
-        # Waited for without a hold on them: who gives up must not end them, which would look like
-        # batches that are done.
+        # Unlike gather(), wait() does not cancel the futures if the caller is cancelled, which
+        # would make their batches look complete.
         await asyncio.wait(waiting)
         if any(done.cancelled() for done in waiting):
             raise GivenUp
 
-    async def _settle(self, records: list[Record], sequence: int) -> None:
-        """Send the same append until it is known to be done; raises ``LostLeadership``."""
+    async def _append_until_settled(self, records: list[Record], sequence: int) -> None:
+        """Send an append until it is known to be complete, or raise ``LostLeadership``."""
         done = asyncio.get_running_loop().create_future()
-        entry = _Open(sequence, monotonic(), done, call_size(records))
-        self._open.append(entry)
+        entry = _PendingAppend(sequence, monotonic(), done, call_size(records))
+        self._pending.append(entry)
         try:
             if sequence > FIRST_SEQUENCE:
-                await self._begins()
-            tries, settled_by = await self._send(records, entry)
-            self._tell(entry, tries, settled_by)
-            self._good(sequence, entry)
-            if records and not self._begun.done():
-                self._begun.set_result(None)
+                await self._wait_for_first_batch()
+            attempts, settled_by = await self._send_until_settled(records, entry)
+            self._log_settled(entry, attempts, settled_by)
+            self._mark_settled(sequence, entry)
+            if records and not self._first_batch.done():
+                self._first_batch.set_result(None)
         finally:
-            self._open.remove(entry)
+            self._pending.remove(entry)
             if not entry.done.done():
                 entry.done.cancel()
                 if records and sequence == FIRST_SEQUENCE:
-                    self._begun.cancel()
+                    self._first_batch.cancel()
 
-    async def _begins(self) -> None:
-        """Wait until the first batch is in the store.
+    async def _wait_for_first_batch(self) -> None:
+        """Wait until the first batch is stored.
 
-        If a later one came there first, it would be taken as the epoch's beginning, and the first
-        one refused for good.
+        If a later batch arrived first, the store would take it as the beginning of the epoch and
+        refuse the first batch permanently.
         """
-        await asyncio.wait([self._begun])
-        if self._begun.cancelled():
+        await asyncio.wait([self._first_batch])
+        if self._first_batch.cancelled():
             raise GivenUp
 
-    async def _send(self, records: list[Record], entry: "_Open") -> tuple[int, str]:
-        """Return after how many tries the append is done, and by what that is known."""
-        settled_by = BY_LATER
-        interval = self._patience()
+    async def _send_until_settled(
+        self, records: list[Record], entry: "_PendingAppend"
+    ) -> tuple[int, str]:
+        """Send an append until it is complete; return the attempts made and what showed it."""
+        settled_by = SETTLED_BY_LATER_APPEND
+        interval = self._retry_interval()
         producer = Producer(PRODUCER, self._epoch, entry.sequence)
-        tries = _Tries(entry.done, asyncio.ensure_future(self._losses.probe(self._on_the_way)))
+        attempts = _Attempts(
+            entry.done, asyncio.ensure_future(self._loss_detector.probe(self._uplink_delay))
+        )
         try:
             while not entry.done.done():
-                if self._may_send(entry.sequence, tries.in_flight, interval):
-                    entry.tried_at = monotonic()
-                    tries.add(self._try(records, producer), entry.tried_at)
-                if self._losses.happen():
-                    interval = self._patience()
-                pause = interval * self._rng.uniform(LEAST_JITTER, 1.0)
-                answers = await tries.answers(pause)
-                if any(self._done(answer, entry.sequence) for answer in answers):
-                    self._losses.done(answers, tries.sent_at())
+                if self._may_send(entry.sequence, attempts.in_flight, interval):
+                    entry.last_sent_at = monotonic()
+                    attempts.add(self._attempt(records, producer), entry.last_sent_at)
+                if self._loss_detector.is_lossy():
+                    interval = self._retry_interval()
+                pause = interval * self._rng.uniform(MIN_JITTER, 1.0)
+                answers = await attempts.answers(pause)
+                if any(self._is_settled(answer, entry.sequence) for answer in answers):
+                    self._loss_detector.record_done(answers, attempts.sent_at())
                     taken = any(isinstance(answer.result, Appended) for answer in answers)
                     settled_by = BY_ANSWER if taken else BY_NUMBER
                     break
                 if any(isinstance(answer.result, WrongSequence) for answer in answers):
-                    await self._too_early(entry.sequence, answers, interval)
+                    await self._wait_out_of_order(entry.sequence, answers, interval)
                     continue
                 if answers:
-                    # Refused at once: as if its time had gone by.
-                    await asyncio.sleep(min(pause, MAX_PAUSE))
-                longest = self._max_interval(entry.sequence) + self._on_the_way()
+                    # Refused immediately: pause as if the attempt had timed out.
+                    await asyncio.sleep(min(pause, MAX_REFUSAL_PAUSE_S))
+                longest = self._max_retry_interval(entry.sequence) + self._uplink_delay()
                 longer = min(longest, interval * 2)
-                interval = max(interval, longer, self._patience())
+                interval = max(interval, longer, self._retry_interval())
         finally:
-            tries.cancel()
-        return tries.count, settled_by
+            attempts.cancel()
+        return attempts.count, settled_by
 
-    def _patience(self) -> float:
-        """Return the seconds after which an append is sent again, by the answers before.
+    def _retry_interval(self) -> float:
+        """Return the seconds until an append is retried, derived from earlier response times.
 
-        The former call goes on: a slow store answers it, and what is sent twice is done once.
+        The earlier attempt stays in flight, since a slow store may still answer it; the store
+        carries out duplicates only once.
         """
-        least = LOSSY_INTERVAL if self._losses.happen() else FIRST_INTERVAL
-        return max(least, self._losses.overdue()) + self._on_the_way()
+        shortest = (
+            LOSSY_RETRY_INTERVAL_S if self._loss_detector.is_lossy() else MIN_RETRY_INTERVAL_S
+        )
+        return max(shortest, self._loss_detector.overdue_after()) + self._uplink_delay()
 
-    async def _too_early(self, sequence: int, answers: list[Answer], interval: float) -> None:
-        """Wait for the append before, which may be lost: then this one is tried again soon."""
-        before = min(self._open, key=lambda entry: entry.sequence)
-        if before.sequence < sequence:
-            self._losses.too_early(answers, before.tried_at)
-        lossy = self._losses.happen()
-        await self._predecessor(sequence, interval if lossy else MAX_INTERVAL)
+    async def _wait_out_of_order(
+        self, sequence: int, answers: list[Answer], interval: float
+    ) -> None:
+        """Wait for the preceding append after the store has refused this one as out of order.
+
+        The wait is short if the store loses writes, as the preceding append may be lost.
+        """
+        predecessor = min(self._pending, key=lambda entry: entry.sequence)
+        if predecessor.sequence < sequence:
+            self._loss_detector.record_too_early(answers, predecessor.last_sent_at)
+        lossy = self._loss_detector.is_lossy()
+        await self._wait_for_predecessor(sequence, interval if lossy else MAX_RETRY_INTERVAL_S)
 
-    def _is_first(self, sequence: int) -> bool:
-        return all(entry.sequence >= sequence for entry in self._open)
+    def _is_oldest(self, sequence: int) -> bool:
+        return all(entry.sequence >= sequence for entry in self._pending)
 
     def _may_send(self, sequence: int, in_flight: int, interval: float) -> bool:
-        """Tell whether an append may be sent, or sent again while tries of it are in flight.
+        """Return whether an append may be sent, given how many attempts of it are in flight.
 
-        Only the oldest append is sent again: the store takes them in turn, so that its answer
-        settles what the others wait for. While the store answers others it is only slow.
+        Unless the store is known to lose writes, only the oldest append is retried: the store
+        accepts appends in order, so the others wait for its answer. As long as the store answers
+        others, it is merely slow.
         """
         if not in_flight:
             return True
-        if self._losses.shown():
-            return in_flight < LOSSY_TRIES_AT_ONCE
-        if not self._is_first(sequence):
+        if self._loss_detector.is_confirmed():
+            return in_flight < LOSSY_MAX_ATTEMPTS
+        if not self._is_oldest(sequence):
             return False
-        if self._losses.happen():
-            return in_flight < GUESSED_TRIES_AT_ONCE
+        if self._loss_detector.is_lossy():
+            return in_flight < SUSPECTED_LOSSY_MAX_ATTEMPTS
         if self.silent():
-            return in_flight < SILENT_TRIES_AT_ONCE
-        overdue = self.unanswered_for() > interval * LEAST_JITTER
-        return overdue and in_flight < MAX_TRIES_AT_ONCE
+            return in_flight < SILENT_MAX_ATTEMPTS
+        overdue = self.unanswered_seconds() > interval * MIN_JITTER
+        return overdue and in_flight < MAX_ATTEMPTS
 
-    def _max_interval(self, sequence: int) -> float:
-        return FIRST_MAX_INTERVAL if self._is_first(sequence) else MAX_INTERVAL
+    def _max_retry_interval(self, sequence: int) -> float:
+        return MAX_OLDEST_RETRY_INTERVAL_S if self._is_oldest(sequence) else MAX_RETRY_INTERVAL_S
 
-    async def _predecessor(self, sequence: int, timeout: float) -> None:
-        """Wait until the append before is done, for what came too early can then be sent at once.
+    async def _wait_for_predecessor(self, sequence: int, timeout: float) -> None:
+        """Wait until the preceding append is complete, so that this one can be sent at once.
 
-        With a fixed pause, one late append would keep all later ones late: each is sent while the
-        one before it pauses, and comes too early again.
+        With a fixed pause, one late append would delay all later ones: each would be sent during
+        the pause of its predecessor and be refused as out of order again.
         """
-        before = [entry.done for entry in self._open if entry.sequence < sequence]
-        if before:
-            await asyncio.wait(before[-1:], timeout=timeout)
+        predecessors = [entry.done for entry in self._pending if entry.sequence < sequence]
+        if predecessors:
+            await asyncio.wait(predecessors[-1:], timeout=timeout)
 
-    async def _try(self, records: list[Record], producer: Producer) -> Answer:
+    async def _attempt(self, records: list[Record], producer: Producer) -> Answer:
         sent_at = monotonic()
-        timeout = TRY_TIMEOUT
-        if self._losses.happen():
-            timeout = max(LOSSY_TIMEOUT, self._losses.overdue())
-        way = self._on_the_way()
-        result = await self._store.append(Topic.JOBS, records, timeout + way, producer)
-        seconds = max(0.0, monotonic() - sent_at - way)
+        timeout = ATTEMPT_TIMEOUT_S
+        if self._loss_detector.is_lossy():
+            timeout = max(LOSSY_ATTEMPT_TIMEOUT_S, self._loss_detector.overdue_after())
+        uplink_delay = self._uplink_delay()
+        result = await self._store.append(Topic.JOBS, records, timeout + uplink_delay, producer)
+        seconds = max(0.0, monotonic() - sent_at - uplink_delay)
         if isinstance(result, Appended | WrongSequence):
-            self._confirmed(sent_at)
+            self._record_confirmation(sent_at)
         if isinstance(result, Appended):
             self.end = result.end if self.end is None else max(self.end, result.end)
-            self._losses.answered(seconds)
+            self._loss_detector.record_answered(seconds)
         elif isinstance(result, WrongSequence):
-            self._losses.out_of_order(seconds)
+            self._loss_detector.record_out_of_order(seconds)
         return Answer(result, sent_at, seconds)
 
-    def _confirmed(self, sent_at: float) -> None:
-        """Take an answer that is not a fence to what was sent at some time.
+    def _record_confirmation(self, sent_at: float) -> None:
+        """Record that an answer to a request sent at ``sent_at`` shows no later epoch.
 
-        The store may have given it as soon as that was sent.
+        The store may have produced the answer as early as ``sent_at``.
         """
-        word_at = min(monotonic(), sent_at + WORD_DELAY)
-        self.confirmed_at = max(self.confirmed_at, word_at)
+        confirmed_at = min(monotonic(), sent_at + MAX_CONFIRMATION_DELAY_S)
+        self.confirmed_at = max(self.confirmed_at, confirmed_at)
 
-    def _done(self, answer: Answer, sequence: int) -> bool:
+    def _is_settled(self, answer: Answer, sequence: int) -> bool:
         result = answer.result
         if isinstance(result, Fenced):
             raise LostLeadership(result.epoch)
         if isinstance(result, WrongSequence):
-            # Later: an earlier attempt was carried out, and its answer is not remembered any more.
-            # Sooner: an earlier append had not arrived yet; if there was none, the count is broken.
-            first = min(entry.sequence for entry in self._open)
+            # A higher number is expected: an earlier attempt was carried out, and the store no
+            # longer remembers its answer. A lower one: a preceding append has not arrived yet; if
+            # there is none, the sequence numbers of this epoch are inconsistent.
+            first = min(entry.sequence for entry in self._pending)
             settled = first == sequence and answer.sent_at >= self._settled_at
             if result.wanted < sequence and settled:
                 raise LostLeadership(self._epoch)
             return result.wanted > sequence
         return isinstance(result, Appended)
 
-    def _tell(self, entry: "_Open", tries: int, settled_by: str) -> None:
-        """Log an append that took more than one try, or of which no answer says that it is done."""
-        if tries == 1 and settled_by == BY_ANSWER:
+    def _log_settled(self, entry: "_PendingAppend", attempts: int, settled_by: str) -> None:
+        """Log an append that took several attempts or was not settled by its own answer."""
+        if attempts == 1 and settled_by == BY_ANSWER:
             return
         extra = {
             "epoch": self._epoch,
             "sequence": entry.sequence,
-            "tries": tries,
-            "seconds": round(monotonic() - entry.since, 3),
+            "tries": attempts,
+            "seconds": round(monotonic() - entry.first_sent_at, 3),
             "by": settled_by,
         }
         _logger.info("append settled", extra=extra)
 
-    def _good(self, sequence: int, entry: "_Open") -> None:
-        self.good_at = self._settled_at = monotonic()
-        for other in self._open:
-            # One without records has the number that the next one with records takes too.
+    def _mark_settled(self, sequence: int, entry: "_PendingAppend") -> None:
+        self.last_settled_at = self._settled_at = monotonic()
+        for other in self._pending:
+            # An append without records shares its number with the next one that has records.
             if other.sequence < sequence and not other.done.done():
                 other.done.set_result(None)
         if not entry.done.done():
             entry.done.set_result(None)
 
 
-class _Open:
-    """An append without an answer: when it was first and last sent, and what its end sets."""
+class _PendingAppend:
+    """An unanswered append: when it was first and last sent, and the future of its completion."""
 
-    __slots__ = ("done", "sequence", "since", "size", "tried_at")
+    __slots__ = ("done", "first_sent_at", "last_sent_at", "sequence", "size")
 
     def __init__(
-        self, sequence: int, since: float, done: "asyncio.Future[None]", size: int
+        self, sequence: int, first_sent_at: float, done: "asyncio.Future[None]", size: int
     ) -> None:
         self.sequence = sequence
         self.size = size
-        self.since = self.tried_at = since
+        self.first_sent_at = self.last_sent_at = first_sent_at
         self.done = done
 
 
-class _Tries:
-    """The tries of one append that are on their way, beside what else may end the wait for them."""
+class _Attempts:
+    """The attempts of one append in flight, and the futures that end the wait for them early."""
 
     def __init__(self, done: "asyncio.Future[None]", probe: "asyncio.Future[None]") -> None:
         self._done = done
@@ -385,20 +408,20 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many have no answer."""
+        """Return the number of unanswered attempts."""
         return len(self._sent)
 
     def sent_at(self) -> list[float]:
-        """Return when those without an answer were sent."""
+        """Return when the unanswered attempts were sent."""
         return list(self._sent.values())
 
     def add(self, attempt: Coroutine[Any, Any, Answer], sent_at: float) -> None:
-        """Begin a try."""
+        """Start an attempt."""
         self.count += 1
         self._sent[asyncio.ensure_future(attempt)] = sent_at
 
     async def answers(self, timeout: float) -> list[Answer]:
-        """Return the answers that come first, or none if something else ends the wait."""
+        """Return the next answers, or none if the time-out or another future ends the wait."""
         waited_for: set[asyncio.Future[Any]] = {self._done, *self._sent}
         if not self._probe.done():
             waited_for.add(self._probe)
@@ -409,7 +432,7 @@
         return [call.result() for call in ended]
 
     def cancel(self) -> None:
-        """Give up what is on its way."""
+        """Cancel the attempts in flight and the probe."""
         self._probe.cancel()
         for call in self._sent:
             call.cancel()
--- a/src/sablemount/control/commit_loop.py
+++ b/src/sablemount/control/commit_loop.py
@@ -75,7 +75,7 @@
             self._keep(commit)
             # Behind a slow answer the next batch is sent without waiting for it.
             await asyncio.wait([commit], timeout=PIPELINE_AFTER)
-            while self._committer.in_flight >= PIPELINE_DEPTH or self._committer.unusual():
+            while self._committer.in_flight >= PIPELINE_DEPTH or self._committer.is_answer_late():
                 await asyncio.sleep(PIPELINE_POLL)
             # What comes meanwhile goes together: each call of the store costs.
             await asyncio.sleep(COMMIT_PAUSE)
@@ -102,7 +102,7 @@
 
     def _asked_at(self) -> float:
         """Return since when the answer that is awaited next may be under way."""
-        since = self._committer.waiting_since
+        since = self._committer.oldest_sent_at
         return since if since > 0 else monotonic()
 
     def _pending_batches(self) -> list[Batch]:
--- a/src/sablemount/control/lost_writes.py
+++ b/src/sablemount/control/lost_writes.py
@@ -1,8 +1,8 @@
-"""Tells a store that loses writes, or the answers to them, from one that is slow.
+"""Distinguishes a store that loses writes, or the answers to them, from one that is slow.
 
-What is sent to a slow store again only makes it slower, and what a store has lost has to be sent
-again soon: each later append waits for it. A store that answers something else in its usual time,
-while an append has none, has lost that.
+Retries make a slow store slower, but a lost write has to be retried soon, since each later append
+waits for it. A store that answers another request in its usual time while an append stays
+unanswered has lost that append.
 """
 
 import asyncio
@@ -13,150 +13,152 @@
 from sablemount.control.clock import monotonic
 from sablemount.control.store import AppendResult, Store, Topic, Unavailable
 
-__all__ = ["Answer", "LostWrites"]
+__all__ = ["Answer", "LostWriteDetector"]
 
-LOSSY_TIME = 2.0
-"""Seconds for which the store counts as one that loses writes, after the last proof of that."""
+LOSSY_TIME_S = 2.0
+"""How long the store counts as losing writes after the latest evidence of it."""
 OVERDUE_FACTOR = 4.0
-"""An answer is overdue after this many times the usual time."""
-NEWEST_FACTOR = 2.0
-"""The same beside the newest answer's time: a store that has just become slow is not yet usual."""
-GUESS_TIME = 0.3
-"""Seconds for which only reads tell that, until it is taken as shown all the same: a store that is
-slow at appends alone reads soon too. With 8 tries at once from the first such read on, four appends
-that took 0.24 s each were there after 4.4 s in place of 2.0 s (the worst of 20 emulated seeds)."""
-PROBE_AFTER = 0.05
-"""Seconds without an answer after which something is read, to see whether the store is quick."""
+"""An answer is overdue after this many times the usual response time."""
+LATEST_FACTOR = 2.0
+"""Same for the latest response time: the average lags behind in a store that has just slowed."""
+UNCONFIRMED_TIME_S = 0.3
+"""How long quick reads alone leave the loss unconfirmed, since a store that is slow only at appends
+reads quickly too. With 8 concurrent attempts from the first such read on, four appends of 0.24 s
+each took 4.4 s instead of 2.0 s in total (the worst of 20 simulated seeds)."""
+MIN_PROBE_DELAY_S = 0.05
+"""Shortest time without an answer after which a read probes whether the store responds quickly."""
 SMOOTHING = 0.2
-"""Share of the newest answer's time in the usual one."""
-FIRST_USUAL = 0.02
-"""Seconds that an answer is taken to need before one has come."""
+"""Weight of the latest response time in the moving average."""
+INITIAL_RESPONSE_TIME_S = 0.02
+"""Initial value of the average response time."""
 
 _logger = logging.getLogger("sablemount.control.commit")
 
 
-def _no_time() -> float:
-    """Return that nothing is on its way for long."""
+def _no_delay() -> float:
+    """Return 0: without a limited uplink, transmission takes no time."""
     return 0.0
 
 
 class Answer(NamedTuple):
-    """What became of one try, when it was sent (local seconds) and how long it took."""
+    """The result of one attempt, the local time at which it was sent, and its duration."""
 
     result: AppendResult
     sent_at: float
     seconds: float
 
 
-class LostWrites:
-    """Watches the appends of one leadership."""
+class LostWriteDetector:
+    """Detects lost writes from the response times of one leadership's appends."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
-        self._until = -1e9
-        self._since = -1e9
-        """Since when the store has counted as one that loses writes."""
-        self._shown_until = -1e9
-        """Until when that was shown by appends themselves, and not by a read."""
+        self._lossy_until = -1e9
+        self._lossy_since = -1e9
+        """Local time since which the store has counted as losing writes."""
+        self._confirmed_until = -1e9
+        """Local time until which appends themselves, not only reads, are evidence of that."""
         self._answered_at = -1e9
-        """When an append was last answered after its turn (local time)."""
-        self._newest = 0.0
-        """Seconds that the newest such answer took."""
-        self.usual = FIRST_USUAL
-        """Seconds that an append usually takes."""
+        """Local time at which an append was last answered after being processed in order."""
+        self._latest_s = 0.0
+        """Response time of that append in seconds."""
+        self.usual_s = INITIAL_RESPONSE_TIME_S
+        """Moving average of the response time of appends, in seconds."""
 
-    def happen(self) -> bool:
-        """Tell whether the store has lost a write of late, or the answer to one."""
-        return monotonic() < self._until
+    def is_lossy(self) -> bool:
+        """Return whether the store has recently lost a write or the answer to one."""
+        return monotonic() < self._lossy_until
 
-    def shown(self) -> bool:
-        """Tell whether more than a quick read has shown it.
+    def is_confirmed(self) -> bool:
+        """Return whether there is more evidence of lost writes than a quick read.
 
-        That is an append that was answered soon beside one that was not, or no answer for a while.
+        This is an append that was answered quickly while another was not, or the absence of any
+        answer for ``UNCONFIRMED_TIME_S``.
         """
-        if not self.happen():
+        if not self.is_lossy():
             return False
         now = monotonic()
-        return now < self._shown_until or now - max(self._since, self._answered_at) > GUESS_TIME
+        return (
+            now < self._confirmed_until
+            or now - max(self._lossy_since, self._answered_at) > UNCONFIRMED_TIME_S
+        )
 
-    def overdue(self) -> float:
-        """Return the seconds after which a missing answer is more than a little late."""
-        return max(OVERDUE_FACTOR * self.usual, NEWEST_FACTOR * self._newest)
+    def overdue_after(self) -> float:
+        """Return the seconds after which a missing answer counts as overdue."""
+        return max(OVERDUE_FACTOR * self.usual_s, LATEST_FACTOR * self._latest_s)
 
-    def answered(self, seconds: float) -> None:
-        """Take how long an append took that the store has carried out."""
-        self._in_turn(seconds)
-        self.usual += SMOOTHING * (seconds - self.usual)
+    def record_answered(self, seconds: float) -> None:
+        """Record the response time of an append that the store has carried out."""
+        self._record_in_order(seconds)
+        self.usual_s += SMOOTHING * (seconds - self.usual_s)
 
-    def out_of_order(self, seconds: float) -> None:
-        """Take how long an append took that the store has refused for its number.
+    def record_out_of_order(self, seconds: float) -> None:
+        """Record the response time of an append refused for its sequence number.
 
-        It is refused at once by a store that has lost the one before it, and in its turn by a slow
-        one.
+        A store that has lost the preceding append refuses at once; a slow one refuses when it gets
+        to the append.
         """
-        if seconds > self.overdue():
-            self._in_turn(seconds)
-
-    def _in_turn(self, seconds: float) -> None:
-        if seconds > self.overdue() and self.happen():
-            # What was taken as lost has an answer after all.
-            self._until = -1e9
-            _logger.info(
-                "the store is slow and loses nothing", extra={"seconds": round(seconds, 4)}
-            )
+        if seconds > self.overdue_after():
+            self._record_in_order(seconds)
+
+    def _record_in_order(self, seconds: float) -> None:
+        if seconds > self.overdue_after() and self.is_lossy():
+            # An append that was considered lost has been answered after all.
+            self._lossy_until = -1e9
+            _logger.info("store is slow but loses no writes", extra={"seconds": round(seconds, 4)})
         self._answered_at = monotonic()
-        self._newest = seconds
+        self._latest_s = seconds
 
-    # -- Proofs ------------------------------------------------------------------------------
+    # -- Evidence ----------------------------------------------------------------------------
 
-    def done(self, answers: Iterable[Answer], others: Iterable[float]) -> None:
-        """Take that an append is done; other tries of it, sent at some times, have no answer."""
-        last = monotonic() - self.overdue()
-        if self._quick(answers) and any(sent_at < last for sent_at in others):
-            self._note()
-            self._shown_until = self._until
+    def record_done(self, answers: Iterable[Answer], others: Iterable[float]) -> None:
+        """Record that an append is complete while attempts sent at ``others`` are unanswered."""
+        last = monotonic() - self.overdue_after()
+        if self._any_quick(answers) and any(sent_at < last for sent_at in others):
+            self._mark_lossy()
+            self._confirmed_until = self._lossy_until
 
-    def too_early(self, answers: Iterable[Answer], before_sent_at: float) -> None:
-        """Take that an append came too early, beside when the one before it was last sent."""
-        if monotonic() - before_sent_at > self.overdue() and self._quick(answers):
-            self._note()
-            self._shown_until = self._until
+    def record_too_early(self, answers: Iterable[Answer], predecessor_sent_at: float) -> None:
+        """Record that an append was out of order, and when its predecessor was last sent."""
+        if monotonic() - predecessor_sent_at > self.overdue_after() and self._any_quick(answers):
+            self._mark_lossy()
+            self._confirmed_until = self._lossy_until
 
-    async def probe(self, on_the_way: Callable[[], float] = _no_time) -> None:
-        """Read something, for an append that has no answer by the time that one is overdue.
+    async def probe(self, uplink_delay: Callable[[], float] = _no_delay) -> None:
+        """Probe the store with a read once an append's answer is overdue.
 
-        ``on_the_way`` tells for how many seconds what has no answer may be on its way to the store.
+        ``uplink_delay`` returns for how many seconds unanswered appends may be in transmission.
 
-        A store that takes appends in turn answers one after the other, each later than the one
-        before: while any is answered it is slow, and a quicker read proves nothing.
+        A store that processes appends serially answers each later than the one before. While it
+        answers any append it is merely slow, and a quicker read is no evidence of a loss.
         """
         while True:
-            await self._none_answered(on_the_way)
+            await self._wait_until_overdue(uplink_delay)
             sent_at = monotonic()
-            page = await self._store.newest(Topic.LEADER, "", self.overdue())
-            if isinstance(page, Unavailable) or monotonic() - sent_at >= self.overdue():
+            page = await self._store.newest(Topic.LEADER, "", self.overdue_after())
+            if isinstance(page, Unavailable) or monotonic() - sent_at >= self.overdue_after():
                 return
             if self._answered_at < sent_at:
-                self._note()
+                self._mark_lossy()
                 return
 
-    async def _none_answered(self, on_the_way: Callable[[], float]) -> None:
-        """Wait until no append has been answered for as long as makes one overdue."""
+    async def _wait_until_overdue(self, uplink_delay: Callable[[], float]) -> None:
+        """Wait until no append has been answered for long enough to be overdue."""
         since = monotonic()
         while True:
-            due_at = max(since, self._answered_at) + self._patience() + on_the_way()
-            if (left := due_at - monotonic()) <= 0:
+            due_at = max(since, self._answered_at) + self._probe_delay() + uplink_delay()
+            if (remaining := due_at - monotonic()) <= 0:
                 return
-            await asyncio.sleep(left)
+            await asyncio.sleep(remaining)
 
-    def _patience(self) -> float:
-        return max(PROBE_AFTER, self.overdue())
+    def _probe_delay(self) -> float:
+        return max(MIN_PROBE_DELAY_S, self.overdue_after())
 
-    def _quick(self, answers: Iterable[Answer]) -> bool:
-        return any(answer.seconds < self.overdue() for answer in answers)
+    def _any_quick(self, answers: Iterable[Answer]) -> bool:
+        return any(answer.seconds < self.overdue_after() for answer in answers)
 
-    def _note(self) -> None:
-        if not self.happen():
-            self._since = monotonic()
-            _logger.info("the store loses writes", extra={"usual": round(self.usual, 4)})
-        self._until = monotonic() + LOSSY_TIME
+    def _mark_lossy(self) -> None:
+        if not self.is_lossy():
+            self._lossy_since = monotonic()
+            _logger.info("store loses writes", extra={"usual": round(self.usual_s, 4)})
+        self._lossy_until = monotonic() + LOSSY_TIME_S
