--- a/src/sablemount/control/commit_loop.py
+++ b/src/sablemount/control/commit_loop.py
@@ -1,4 +1,4 @@
-"""Brings the scheduler's journal into the store, batch after batch."""
+"""Writes the scheduler's journal to the store in batches."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,24 +11,24 @@
 
 __all__ = ["CommitLoop"]
 
-CONFIRM_INTERVAL = 0.5
-"""Seconds after which the store is asked to confirm the leadership when there is nothing to add."""
-COMMIT_PAUSE = 0.015
-"""Seconds between two batches: a call of the store costs, and 15 ms are little beside a task."""
-PIPELINE_AFTER = 0.04
-"""Seconds that a batch waits for the answer to the one before."""
-PIPELINE_DEPTH = 2
-"""Appends in flight at most: the store takes them in turn, so that more only wait there, and what
-comes meanwhile goes together with the next one."""
-PIPELINE_POLL = 0.01
-"""Seconds between looks at whether the next batch may be sent."""
+CONFIRM_INTERVAL_S = 0.5
+"""Interval at which the store confirms the leadership while there are no records to append."""
+COMMIT_PAUSE_S = 0.015
+"""Pause between two batches, which limits the calls to the store; 15 ms are short for a task."""
+PIPELINE_DELAY_S = 0.04
+"""How long a batch waits for the answer to the preceding one."""
+MAX_IN_FLIGHT = 2
+"""Maximum number of appends in flight: the store processes them serially, so further ones would
+only queue there. Records that arrive in the meantime are combined into the next batch."""
+POLL_INTERVAL_S = 0.01
+"""Interval of checking whether the next batch may be sent."""
 
 
 class CommitLoop:
-    """Appends what is pending.
+    """Appends pending journal records to the store.
 
-    ``on_durable`` is called each time the store has taken something, with the local time at which
-    the oldest of it was sent.
+    ``on_durable`` is called after each completed commit with the local time at which the oldest
+    unanswered append was sent. ``keep`` holds a reference to a task that runs in the background.
     """
 
     def __init__(
@@ -44,76 +44,76 @@
         self._figures = figures
         self._on_durable = on_durable
         self._keep = keep
-        self._wanted = asyncio.Event()
-        self._waiting: list[asyncio.Future[None]] = []
+        self._requested = asyncio.Event()
+        self._waiters: list[asyncio.Future[None]] = []
 
     def want(self) -> None:
-        """Have the next batch appended, or the leadership confirmed if nothing is pending."""
-        self._wanted.set()
+        """Request a commit: append pending records, or confirm the leadership if there are none."""
+        self._requested.set()
 
     def noted(self) -> "asyncio.Future[None]":
-        """Return a future that is done once all that is to last by now is in the store."""
+        """Return a future that is done once all records pending now are stored."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting.append(future)
+        self._waiters.append(future)
         self.want()
         return future
 
     def stuck(self) -> bool:
-        """Tell whether the store has not answered for some time, so that no new work is taken."""
+        """Return whether the store is silent, so that no new work can be accepted."""
         return self._committer.silent()
 
     def busy(self) -> bool:
-        """Tell whether something is being appended or somebody waits for that."""
-        return bool(self._waiting) or self._committer.in_flight > 0
+        """Return whether an append is in flight or awaited."""
+        return bool(self._waiters) or self._committer.in_flight > 0
 
     async def run(self) -> None:
-        """Append without end."""
+        """Commit whenever requested, until cancelled."""
         while True:
-            await set_within(self._wanted, CONFIRM_INTERVAL)
-            self._wanted.clear()
+            await set_within(self._requested, CONFIRM_INTERVAL_S)
+            self._requested.clear()
             commit = asyncio.get_running_loop().create_task(self._commit())
             self._keep(commit)
-            # Behind a slow answer the next batch is sent without waiting for it.
-            await asyncio.wait([commit], timeout=PIPELINE_AFTER)
-            while self._committer.in_flight >= PIPELINE_DEPTH or self._committer.is_answer_late():
-                await asyncio.sleep(PIPELINE_POLL)
-            # What comes meanwhile goes together: each call of the store costs.
-            await asyncio.sleep(COMMIT_PAUSE)
+            # If the answer is slow, the next batch is sent without waiting for it.
+            await asyncio.wait([commit], timeout=PIPELINE_DELAY_S)
+            while self._committer.in_flight >= MAX_IN_FLIGHT or self._committer.is_answer_late():
+                await asyncio.sleep(POLL_INTERVAL_S)
+            # Combine the records that arrive in the meantime, to limit the calls to the store.
+            await asyncio.sleep(COMMIT_PAUSE_S)
 
     async def _commit(self) -> None:
-        waiting = self._waiting
-        self._waiting = []
-        asked_at = self._asked_at()
+        waiters = self._waiters
+        self._waiters = []
+        earliest_at = self._earliest_answer_at()
         try:
             batches = self._pending_batches()
             if batches:
                 await self._append_all(batches)
             else:
                 await self._committer.append([])
-            self._on_durable(asked_at)
-            for future in waiting:
+            self._on_durable(earliest_at)
+            for future in waiters:
                 if not future.done():
                     future.set_result(None)
         finally:
-            # Without an answer, as when a later leader has written, nobody need wait any longer.
-            _cancel(waiting)
+            # On failure, such as fencing by a later leader, the waiters are cancelled.
+            _cancel(waiters)
         if self._scheduler.journal.pending():
             self.want()
 
-    def _asked_at(self) -> float:
-        """Return since when the answer that is awaited next may be under way."""
-        since = self._committer.oldest_sent_at
-        return since if since > 0 else monotonic()
+    def _earliest_answer_at(self) -> float:
+        """Return the earliest time at which the next answer may have been produced."""
+        sent_at = self._committer.oldest_sent_at
+        return sent_at if sent_at > 0 else monotonic()
 
     def _pending_batches(self) -> list[Batch]:
-        """Return all that is pending: what was waited for is in the store after these."""
+        """Return all pending records as batches; once these are stored, the waiters can go on."""
         batches = []
         while self._scheduler.journal.pending():
             batches.append(self._scheduler.next_batch())
         return batches
 
     async def _append_all(self, batches: list[Batch]) -> None:
-        """Append batches in their order, which is that in which their appends begin."""
+        """Append batches concurrently; the order of their tasks sets their sequence numbers."""
         loop = asyncio.get_running_loop()
         appends = [loop.create_task(self._append(batch)) for batch in batches]
         try:
@@ -131,11 +131,11 @@
         self._scheduler.durable(batch)
 
     def close(self) -> None:
-        """Let nobody wait any more."""
-        _cancel(self._waiting)
+        """Cancel all waiters."""
+        _cancel(self._waiters)
 
 
-def _cancel(waiting: list[asyncio.Future[None]]) -> None:
-    for future in waiting:
+def _cancel(waiters: list[asyncio.Future[None]]) -> None:
+    for future in waiters:
         if not future.done():
             future.cancel()
--- a/src/sablemount/control/turns.py
+++ b/src/sablemount/control/turns.py
@@ -1,39 +1,39 @@
-"""Work of which a few pieces are under way at a time, so that all else goes on between them."""
+"""A concurrency limit that no holder can block for longer than a set time."""
 
 import asyncio
 from types import TracebackType
 
-__all__ = ["Turns"]
+__all__ = ["TimedSemaphore"]
 
 
-class Turns:
-    """Lets so many pieces of work begin at once, and others as these end or have taken long.
+class TimedSemaphore:
+    """Semaphore with ``slots`` slots, each of which is released after ``max_hold_s`` seconds.
 
-    Each piece keeps others back for ``longest`` seconds at most.
+    Work that outlasts its slot goes on, but no longer delays other work.
     """
 
-    def __init__(self, at_once: int, longest: float) -> None:
-        self._free = asyncio.Semaphore(at_once)
-        self._longest = longest
+    def __init__(self, slots: int, max_hold_s: float) -> None:
+        self._semaphore = asyncio.Semaphore(slots)
+        self._max_hold_s = max_hold_s
 
-    def turn(self) -> "_Turn":
-        """Return one turn, which is waited for as it is entered."""
-        return _Turn(self._free, self._longest)
+    def slot(self) -> "_Slot":
+        """Return a context manager that waits for a slot as it is entered."""
+        return _Slot(self._semaphore, self._max_hold_s)
 
 
-class _Turn:
-    """A turn that ends with its piece of work, or before."""
+class _Slot:
+    """A slot that is released at the end of its block or after the maximum holding time."""
 
-    __slots__ = ("_free", "_longest", "_timer")
+    __slots__ = ("_semaphore", "_max_hold_s", "_timer")
 
-    def __init__(self, free: asyncio.Semaphore, longest: float) -> None:
-        self._free = free
-        self._longest = longest
+    def __init__(self, semaphore: asyncio.Semaphore, max_hold_s: float) -> None:
+        self._semaphore = semaphore
+        self._max_hold_s = max_hold_s
         self._timer: asyncio.TimerHandle | None = None
 
     async def __aenter__(self) -> None:
-        await self._free.acquire()
-        self._timer = asyncio.get_running_loop().call_later(self._longest, self._end)
+        await self._semaphore.acquire()
+        self._timer = asyncio.get_running_loop().call_later(self._max_hold_s, self._release)
 
     async def __aexit__(
         self,
@@ -41,11 +41,11 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        self._end()
+        self._release()
 
-    def _end(self) -> None:
-        """Let another piece of work begin, once."""
+    def _release(self) -> None:
+        """Release the slot, unless that has already happened."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-            self._free.release()
+            self._semaphore.release()
--- a/src/sablemount/control/vm_calls.py
+++ b/src/sablemount/control/vm_calls.py
@@ -1,4 +1,4 @@
-"""Carries out the leader's orders and keeps looking at each VM."""
+"""Sends the leader's requests to the VMs and polls each VM continuously."""
 
 import asyncio
 import logging
@@ -9,7 +9,7 @@
 from sablemount.control.background import Background, error_logger
 from sablemount.control.clock import monotonic
 from sablemount.control.ports import CallError, HoldCall, Started, VmPort
-from sablemount.control.turns import Turns
+from sablemount.control.turns import TimedSemaphore
 from sablemount.jobs.actions import Heard, LookAt, OtherLife, PaceRun, StartRun, StopRun
 from sablemount.jobs.scheduler import JobScheduler, StartRefusal
 from sablemount.jobs.tables import RunRow, VmRow
@@ -17,73 +17,76 @@
 __all__ = ["VmCalls"]
 
 HOLD_WAIT = 0.7
-"""Seconds that a look waits for an end."""
+"""How long a poll waits for a completion."""
 LOOKS_A_SECOND = 1_500
-"""Looks at idle VMs that all together may take, a third of a processor core."""
+"""Maximum rate of polls of all idle VMs together, which takes a third of a processor core."""
 MOST_WAIT = 1.7
-"""Seconds that a look at an idle VM waits at most: with its slack it is over before the VM counts
-as silent."""
-SHORT_WAIT = 0.1
-"""The same while a start has no answer yet."""
-HOLD_SLACK = 0.35
-"""Seconds beyond its wait that a look may take, before its VM counts as not answering."""
-LINKED_AT_ONCE = 64
-"""Looks at once that open a connection: each takes processor time before it is sent and as its
-answer comes, and what comes of all else waits behind them."""
-LINK_TURN = 0.02
-"""Seconds after which a look that opens a connection no longer keeps others back: a VM that answers
-takes a few ms, and many may be silent."""
-STARTED_AT_ONCE = 64
-"""Starts under way at once: each opens a connection too, for a look waits over the one there is."""
-FIRST_HOLD_TIMEOUT = 0.5
-"""Seconds that the first look at a VM may take; it does not wait for an end."""
-ACK_TIMEOUT = 0.2
-"""Seconds that a look which acknowledges ends may take."""
-SILENT_HOLD_TIMEOUT = 0.8
-"""Seconds that a look at a silent VM may take."""
-RETRY_PAUSE = 0.1
-"""Seconds after a failed look until the next one; half as long again after each further one."""
-MAX_PAUSE = 0.6
-"""Seconds between looks at a VM that does not answer at most."""
-NO_AUTHORITY_PAUSE = 0.1
-"""Seconds between looks at whether orders may be given again."""
-STOP_EXTENDING = 2.0
-"""Seconds of silence after which leases are not extended, so that what runs there ends in time."""
-UNNOTED_PAUSE = 0.3
-"""Seconds between looks while listed ends can't be noted."""
-UNSETTLED_PAUSE = 0.03
-"""Seconds between looks while orders keep listed ends from being acknowledged: such a look does not
-wait, and an order takes less."""
-UNANSWERED_PAUSE = 0.1
-"""The same while one that was given up may come late: this lasts for long."""
-START_TIMEOUT = 0.3
-"""Seconds that a VM has to answer a start: 100 times a usual answer."""
-START_TRIES = 3
-"""How often a start without an answer is ordered within its validity of 1.5 s."""
+"""Longest wait of a poll of an idle VM: with its slack, the poll ends before the VM counts as
+silent."""
+SHORT_WAIT_S = 0.1
+"""Same while a start request is unanswered."""
+HOLD_SLACK_S = 0.35
+"""Time beyond its wait that a poll may take before the VM counts as not answering."""
+MAX_NEW_CONNECTIONS = 64
+"""Maximum number of concurrent polls that open a connection: each takes processor time when it is
+sent and when its answer arrives, which delays all other work of the process."""
+MAX_SLOT_S = 0.02
+"""Time after which a poll that opens a connection no longer delays others: a VM that answers takes
+a few ms, and many VMs may be silent."""
+MAX_STARTS = 64
+"""Maximum number of concurrent start requests: each opens a connection as well, since a poll
+occupies the existing one."""
+FIRST_HOLD_TIMEOUT_S = 0.5
+"""Time-out of the first poll of a VM, which does not wait for a completion."""
+ACK_TIMEOUT_S = 0.2
+"""Time-out of a poll that acknowledges completions."""
+SILENT_HOLD_TIMEOUT_S = 0.8
+"""Time-out of a poll of a silent VM."""
+RETRY_PAUSE_S = 0.1
+"""Pause after a failed poll; it grows by half with each further failure."""
+MAX_RETRY_PAUSE_S = 0.6
+"""Longest pause between polls of a VM that does not answer."""
+NO_AUTHORITY_PAUSE_S = 0.1
+"""Interval of checking whether the leader has the authority to send requests again."""
+STOP_EXTENDING_AFTER_S = 2.0
+"""Silence after which a VM's leases are no longer extended, so that its runs end in time."""
+UNRECORDED_PAUSE_S = 0.3
+"""Pause between polls while listed completions cannot be recorded in the store."""
+UNSETTLED_PAUSE_S = 0.03
+"""Pause between polls while requests in flight prevent the acknowledgement of listed completions:
+such a poll does not wait, and a request takes less time than this."""
+UNANSWERED_PAUSE_S = 0.1
+"""Same while a timed-out request may still arrive, which can last for a long time."""
+START_TIMEOUT_S = 0.3
+"""Time-out of a start request: 100 times the usual response time."""
+MAX_START_ATTEMPTS = 3
+"""Maximum number of attempts of a start request within its validity of 1.5 s."""
 PROOF_LEASE = 0.04
-"""Seconds of lease of a run that is to show whether its VM lists ends: enough for its order to
-arrive, too short for work to end. It grows with each try, as far as an order may take."""
-CALL_MARGIN = 0.05
-"""Seconds of a start's validity below which it is not worth another try."""
+"""Lease of a probe run, which shows whether its VM lists completions: long enough for the start
+request to arrive, too short for the work to complete. It doubles with each probe, up to the
+validity of a start request."""
+MIN_REMAINING_S = 0.05
+"""Remaining validity of a start request below which it is not sent again."""
 NOTHING_SENT = (CallError.NOT_SENT, CallError.REFUSED)
 EPOCH_SHIFT = 32
-"""Bits of a fence that rise under one leader: with one more for each life of a VM, and each call
-that may come late, they last for years."""
-ORDER_TIMEOUT = 0.5
-"""Seconds that a VM has to answer a stop, which takes 0.4 s at most, or a pace."""
-MS = 1000.0
+"""Low bits of a fence, which increase under one leader: by one for each incarnation of a VM and for
+each request that may arrive late, so that they last for years."""
+REQUEST_TIMEOUT_S = 0.5
+"""Time-out of a throttle request, or of a stop request, which takes 0.4 s at most."""
+MS_PER_S = 1000.0
 
 _logger = logging.getLogger("sablemount.control.vms")
 
-OrderCall: TypeAlias = Callable[[str, int, float], Awaitable[CallError | None]]
-"""Sends an order to an address, under a fence, within some seconds."""
+RequestCall: TypeAlias = Callable[[str, int, float], Awaitable[CallError | None]]
+"""Sends a request to an address under a fence, with a time-out in seconds."""
 
 
 class VmCalls:
-    """Talks to the VMs for one leadership.
+    """Communicates with the VMs for the duration of one leadership.
 
-    ``authority`` tells whether orders may be given now, ``fenced`` is called once a VM has
-    refused the fence, ``kick`` after anything that may let the scheduler decide anew.
+    ``authority`` returns whether requests may be sent now. ``fenced`` is called with the name of a
+    VM that has refused the fence, and ``kick`` after any event that may allow new decisions of the
+    scheduler. ``recorded`` returns a future that is done once all pending records are stored.
     """
 
     def __init__(
@@ -94,7 +97,7 @@
         authority: Callable[[], bool],
         fenced: Callable[[str], None],
         kick: Callable[[], None],
-        noted: Callable[[], "asyncio.Future[None]"],
+        recorded: Callable[[], "asyncio.Future[None]"],
     ) -> None:
         self._scheduler = scheduler
         self._port = port
@@ -102,72 +105,75 @@
         self._authority = authority
         self._fenced = fenced
         self._kick = kick
-        self._noted = noted
-        self._followed: dict[str, asyncio.Task[None]] = {}
-        self._links = Turns(LINKED_AT_ONCE, LINK_TURN)
-        self._starts = Turns(STARTED_AT_ONCE, LINK_TURN)
+        self._recorded = recorded
+        self._polling: dict[str, asyncio.Task[None]] = {}
+        self._link_slots = TimedSemaphore(MAX_NEW_CONNECTIONS, MAX_SLOT_S)
+        self._start_slots = TimedSemaphore(MAX_STARTS, MAX_SLOT_S)
         self._background = Background(error_logger(_logger))
 
-    # -- Looks -------------------------------------------------------------------------------
+    # -- Polls -------------------------------------------------------------------------------
 
     def follow_new(self) -> None:
-        """Begin to look at the VMs that are not looked at yet."""
+        """Start polling the VMs that are not polled yet."""
         for name, row in self._scheduler.state.vms.items():
-            if name not in self._followed:
-                self._followed[name] = self._background.spawn(self._follow(row))
+            if name not in self._polling:
+                self._polling[name] = self._background.spawn(self._poll_continuously(row))
 
-    async def _follow(self, row: VmRow) -> None:
-        pause = RETRY_PAUSE
-        linked = False
+    async def _poll_continuously(self, row: VmRow) -> None:
+        pause = RETRY_PAUSE_S
+        connected = False
         try:
             while not row.gone and self._scheduler.state.vms.get(row.name) is row:
                 if not self._authority():
-                    await asyncio.sleep(NO_AUTHORITY_PAUSE)
+                    await asyncio.sleep(NO_AUTHORITY_PAUSE_S)
                     continue
-                linked = await self._look(row) if linked else await self._link(row)
-                if linked:
-                    pause = RETRY_PAUSE
+                connected = (
+                    await self._poll(row) if connected else await self._poll_new_connection(row)
+                )
+                if connected:
+                    pause = RETRY_PAUSE_S
                     continue
                 await asyncio.sleep(pause)
-                pause = min(MAX_PAUSE, pause * 1.5)
+                pause = min(MAX_RETRY_PAUSE_S, pause * 1.5)
         finally:
-            self._followed.pop(row.name, None)
+            self._polling.pop(row.name, None)
 
-    async def _link(self, row: VmRow) -> bool:
-        """Look over what may be a new connection, once it is its turn."""
-        async with self._links.turn():
-            # Others may have led for long while it was waited for.
-            return self._authority() and await self._look(row)
+    async def _poll_new_connection(self, row: VmRow) -> bool:
+        """Poll over a possibly new connection, once a slot is free."""
+        async with self._link_slots.slot():
+            # Another leader may have taken over during the wait for the slot.
+            return self._authority() and await self._poll(row)
 
     def look_at_once(self, action: LookAt) -> None:
-        """Look at a VM without waiting for an end there."""
+        """Poll a VM now, without waiting for a completion."""
         row = self._scheduler.state.vms.get(action.vm)
         if row is not None and self._authority():
-            self._background.spawn(self._look_at_once(row))
+            self._background.spawn(self._poll_now(row))
 
-    async def _look_at_once(self, row: VmRow) -> None:
-        await self._look(row, at_once=True)
+    async def _poll_now(self, row: VmRow) -> None:
+        await self._poll(row, at_once=True)
 
-    async def _look(self, row: VmRow, at_once: bool = False) -> bool:
-        """Look once; return whether the VM answered."""
+    async def _poll(self, row: VmRow, at_once: bool = False) -> bool:
+        """Poll once; return whether the next poll may follow without a pause."""
         scheduler = self._scheduler
         scheduler.now()
         known = row.first_heard_at > 0
-        silent = known and scheduler.vms.silent_for(row) > STOP_EXTENDING
+        silent = known and scheduler.vms.silent_for(row) > STOP_EXTENDING_AFTER_S
         leased = known and not silent and not row.unproven
         until = scheduler.vms.lease_until(row) if leased else 0
-        # One look at a time carries a number, so that its answer is for it.
+        # Only one poll at a time acknowledges completions, so that its answer can be matched.
         acked = 0 if at_once else scheduler.acks.due(row)
         wait = self._wait(row, acked) if known and not silent and not at_once else 0.0
         if acked:
-            # Should it come to a next life, that is not to keep what shows whether it did.
+            # If the poll reaches the VM's next incarnation, it must not extend the leases of the
+            # runs by which that is detected.
             until = 0
         fence = self._fence(row)
         call = HoldCall(row.name, row.info.address, fence, until, acked, wait)
         timeout = self._timeout(known, silent, wait)
         if acked:
-            # Nothing is started there meanwhile, so it is not waited for as long as for others.
-            timeout = ACK_TIMEOUT
+            # No run is started on the VM meanwhile, so this poll gets a shorter time-out.
+            timeout = ACK_TIMEOUT_S
             scheduler.acks.sent(row)
         sent_at = monotonic()
         result = await self._port.hold(call, timeout)
@@ -175,7 +181,7 @@
         if isinstance(result, Heard):
             if acked:
                 scheduler.acks.answered(row, acked)
-            await self._heard(row, result)
+            await self._handle_report(row, result)
             return True
         if acked:
             scheduler.acks.unanswered(row, result not in NOTHING_SENT)
@@ -184,7 +190,7 @@
             self._kick()
             return False
         if result is CallError.FENCED:
-            self._refused_fence(row, fence)
+            self._handle_refused_fence(row, fence)
         elif result is CallError.OTHER_LIFE:
             scheduler.vms.died(row.name)
             self._kick()
@@ -193,15 +199,15 @@
             scheduler.vms.unanswered(row)
         else:
             scheduler.vms.unanswered(row)
-        _logger.debug("no look", extra={"vm": row.name, "why": result.value})
-        # A look that had to wait need not be followed by a pause.
+        _logger.debug("poll failed", extra={"vm": row.name, "why": result.value})
+        # No pause is needed after a poll that acknowledged completions or took long.
         return (acked > 0 or monotonic() - sent_at > HOLD_WAIT) and not silent
 
     def _fence(self, row: VmRow) -> int:
         return (self._epoch << EPOCH_SHIFT) + row.fence
 
-    def _refused_fence(self, row: VmRow, fence: int) -> None:
-        """Take that a fence was refused: by a later leader, unless a later call went higher."""
+    def _handle_refused_fence(self, row: VmRow, fence: int) -> None:
+        """Handle a refused fence: a later leader has sent one, unless a later call raised ours."""
         if not row.gone and fence == self._fence(row):
             self._fenced(row.name)
 
@@ -209,68 +215,70 @@
         if acked or row.seen_end > row.acked_end:
             return 0.0
         if row.runs:
-            return SHORT_WAIT if self._scheduler.uncertain_on(row.name) else HOLD_WAIT
+            return SHORT_WAIT_S if self._scheduler.uncertain_on(row.name) else HOLD_WAIT
         return min(MOST_WAIT, max(HOLD_WAIT, len(self._scheduler.state.vms) / LOOKS_A_SECOND))
 
     @staticmethod
     def _timeout(known: bool, silent: bool, wait: float) -> float:
         if not known:
-            return FIRST_HOLD_TIMEOUT
-        return SILENT_HOLD_TIMEOUT if silent else wait + HOLD_SLACK
+            return FIRST_HOLD_TIMEOUT_S
+        return SILENT_HOLD_TIMEOUT_S if silent else wait + HOLD_SLACK_S
 
-    async def _heard(self, row: VmRow, heard: Heard) -> None:
-        self._scheduler.heard(heard)
+    async def _handle_report(self, row: VmRow, report: Heard) -> None:
+        self._scheduler.report(report)
         self._kick()
         if row.seen_end <= row.acked_end:
             if self._scheduler.acks.pending(row) and not self._scheduler.acks.due(row):
-                # An order is on its way there; the next word shows what became of it.
+                # A request to the VM is in flight; the next report shows its outcome.
                 late = self._scheduler.acks.may_come_late(row)
-                await asyncio.sleep(UNANSWERED_PAUSE if late else UNSETTLED_PAUSE)
+                await asyncio.sleep(UNANSWERED_PAUSE_S if late else UNSETTLED_PAUSE_S)
             return
-        # The next look acknowledges these ends, so it waits until they are in the store.
-        noted = self._noted()
-        await asyncio.wait([noted], timeout=UNNOTED_PAUSE)
+        # The next poll acknowledges these completions, so it waits until they are stored.
+        recorded = self._recorded()
+        await asyncio.wait([recorded], timeout=UNRECORDED_PAUSE_S)
 
-    # -- Orders ------------------------------------------------------------------------------
+    # -- Requests ----------------------------------------------------------------------------
 
     def start(self, action: StartRun) -> None:
-        """Give the order to start a run."""
+        """Send a request to start a run, in the background."""
         self._background.spawn(self._start(action))
 
     def stop(self, action: StopRun) -> None:
-        """Give the order to stop a run."""
+        """Send a request to stop a run, in the background."""
         self._background.spawn(self._stop(action))
 
     async def _start(self, action: StartRun) -> None:
-        """Order a start, and again while it has no answer: the same run is started once only."""
+        """Request a start, with retries until it is answered; the VM starts a run only once."""
         row = self._scheduler.state.vms.get(action.vm)
         run = None if row is None else row.runs.get((action.task, action.run))
         if row is None or run is None:
-            # Given up meanwhile: its room and its task may have been given to others.
+            # Abandoned meanwhile: its capacity and its task may have been reassigned.
             return
-        # After its settle time a run that its VM does not list is taken never to come.
+        # A run that its VM does not list after the settle time is assumed never to start.
         until = int(
             min(
-                row.clock_after(monotonic()) + self._length(action, row, run) * MS, run.settle_clock
+                row.clock_after(monotonic()) + self._validity(action, row, run) * MS_PER_S,
+                run.settle_clock,
             )
         )
         row.ordering += 1
         try:
-            await self._try_start(row, run, action, until)
+            await self._send_start(row, run, action, until)
         finally:
             row.ordering -= 1
 
-    async def _try_start(self, row: VmRow, run: RunRow, action: StartRun, until: int) -> None:
+    async def _send_start(self, row: VmRow, run: RunRow, action: StartRun, until: int) -> None:
         certain = True
-        for _ in range(START_TRIES):
-            async with self._starts.turn():
-                left = self._left(action)
-                if row.gone or left < CALL_MARGIN or not self._authority():
+        for _ in range(MAX_START_ATTEMPTS):
+            async with self._start_slots.slot():
+                remaining = self._remaining(action)
+                if row.gone or remaining < MIN_REMAINING_S or not self._authority():
                     break
                 if run.listed:
-                    # One order more could start it at the next life, once it has ended here.
+                    # Another request could start it on the VM's next incarnation after it has
+                    # completed on this one.
                     return
-                timeout = min(START_TIMEOUT, left)
+                timeout = min(START_TIMEOUT_S, remaining)
                 fence = self._fence(row)
                 result = await self._port.start(action, row.info.address, fence, until, timeout)
             self._scheduler.now()
@@ -280,10 +288,10 @@
                 )
                 return
             if isinstance(result, StartRefusal):
-                self._refused(action, result, certain)
+                self._handle_refusal(action, result, certain)
                 return
             if result is CallError.FENCED:
-                self._refused_fence(row, fence)
+                self._handle_refused_fence(row, fence)
                 continue
             if result is CallError.OTHER_LIFE:
                 self._scheduler.vms.died(action.vm)
@@ -298,41 +306,41 @@
             self._scheduler.reconcile.not_started(action.vm, action.task, action.run)
             self._kick()
 
-    def _refused(self, action: StartRun, why: StartRefusal, certain: bool) -> None:
+    def _handle_refusal(self, action: StartRun, why: StartRefusal, certain: bool) -> None:
         self._scheduler.start_refused(action.vm, action.task, action.run, why, certain)
         self._kick()
 
-    def _length(self, action: StartRun, row: VmRow, run: RunRow) -> float:
-        """Return for how many seconds a start is valid, and what it starts leased."""
-        left = self._left(action)
-        return min(left, PROOF_LEASE * 2 ** (row.proofs - 1)) if run.proof else left
+    def _validity(self, action: StartRun, row: VmRow, run: RunRow) -> float:
+        """Return for how many seconds a start request is valid and its run is leased."""
+        remaining = self._remaining(action)
+        return min(remaining, PROOF_LEASE * 2 ** (row.proofs - 1)) if run.proof else remaining
 
     @staticmethod
-    def _left(action: StartRun) -> float:
+    def _remaining(action: StartRun) -> float:
         return action.not_after - monotonic()
 
     async def _stop(self, action: StopRun) -> None:
-        await self._order(action.vm, partial(self._port.stop, action))
+        await self._request(action.vm, partial(self._port.stop, action))
 
     def pace(self, action: PaceRun) -> None:
-        """Give the order to pace a run."""
-        self._background.spawn(self._pace(action))
+        """Send a request to throttle a run, in the background."""
+        self._background.spawn(self._throttle(action))
 
-    async def _pace(self, action: PaceRun) -> None:
-        if await self._order(action.vm, partial(self._port.pace, action)) is not None:
+    async def _throttle(self, action: PaceRun) -> None:
+        if await self._request(action.vm, partial(self._port.pace, action)) is not None:
             self._scheduler.pacing.failed(action.vm, action.task, action.run)
 
-    async def _order(self, vm: str, send: OrderCall) -> CallError | None:
-        """Give an order if that may be done now; return what went wrong at the VM."""
+    async def _request(self, vm: str, send: RequestCall) -> CallError | None:
+        """Send a request if the leader has the authority; return the error of the call, if any."""
         row = self._scheduler.state.vms.get(vm)
         if row is None or not self._authority():
             return None
         fence = self._fence(row)
-        result = await send(row.info.address, fence, ORDER_TIMEOUT)
+        result = await send(row.info.address, fence, REQUEST_TIMEOUT_S)
         if result is CallError.FENCED:
-            self._refused_fence(row, fence)
+            self._handle_refused_fence(row, fence)
         return result
 
     def close(self) -> None:
-        """Stop looking and ordering."""
+        """Stop polling and cancel the requests in flight."""
         self._background.close()
