--- a/src/sablemount/control/caller_route.py
+++ b/src/sablemount/control/caller_route.py
@@ -90,7 +90,7 @@
             limit = UNCERTAIN_WAIT if uncertain else HAND_OVER_WAIT
             if not reply.changing or monotonic() - began > limit:
                 break
-            if not await self._feed.reach(reply.version, began + limit - monotonic()):
+            if not await self._feed.wait_for_version(reply.version, began + limit - monotonic()):
                 break
             await asyncio.sleep(HAND_OVER_POLL)
         if uncertain and reply.outcome in REFUSALS:
@@ -123,7 +123,7 @@
         """Return the answer to a call that is not admitted by the version here."""
         if not self._current():
             return not_taken(UNCONFIRMED, changing=True)
-        newer = self._feed.told_of
+        newer = self._feed.announced_version
         return other_version(newer) if newer > self._feed.version else refused
 
     def _current(self) -> bool:
--- a/src/sablemount/control/configuration_feed.py
+++ b/src/sablemount/control/configuration_feed.py
@@ -1,7 +1,8 @@
-"""The newest configuration that a process knows, from wherever it comes.
+"""Keeps the newest configuration that a process knows, whatever its source.
 
-A process reads it in the store. One that the store turns away gets it from the leader, and the
-leader from any member that has a newer one; versions travel with the pings.
+A process reads the configuration from the store. If the store does not serve it, a member requests
+it from the leader, and a leader from any member with a newer version. Pings and their answers carry
+the versions.
 """
 
 import asyncio
@@ -13,7 +14,7 @@
 import msgspec
 
 from sablemount.control.clock import monotonic, set_within
-from sablemount.control.configuration_parts import Arriving, BrokenParts
+from sablemount.control.configuration_parts import IncomingTransfer, InvalidParts
 from sablemount.control.configuration_source import ConfigurationSource
 from sablemount.control.figures import Figures
 from sablemount.control.gate import Gate
@@ -35,23 +36,23 @@
 
 __all__ = ["ConfigurationFeed"]
 
-OWN_READ_TIME = 0.05
-"""Seconds for which a process that knows of a newer version waits for its own read of the store,
-which brings it within 10 ms; 45 members that asked the leader at once would fill a link of
+OWN_READ_TIME_S = 0.05
+"""How long a process that knows of a newer version waits for its own read of the store, which
+returns it within 10 ms; if 45 members asked the leader at once, this would occupy a link of
 5 Mbit/s for 0.7 s."""
-PULL_AFTER = 0.5
-"""The same where no caller waits for it."""
-FIRST_TIMEOUT = 0.5
-"""Seconds that a part may take: 12 times what it needs on a link of 5 Mbit/s."""
-LAST_TIMEOUT = 2.0
-"""The same after parts that did not come in time, each of which doubles it: they may be late
-because the link is full."""
-GIVE_TIMEOUT = 2.0
-"""Seconds that a leader has to take a whole configuration: 0.8 MB need 1.3 s of 5 Mbit/s."""
-FORMER = 2
-"""Earlier versions that are kept, as a member is behind by few: 2.5 MB each for 4,000 queues."""
-WANTED_INTERVAL = 0.3
-"""Seconds between two members that a leader asks for their newer configuration."""
+PULL_DELAY_S = 0.5
+"""Same if no caller waits for the version."""
+MIN_PART_TIMEOUT_S = 0.5
+"""Initial time-out of a part: 12 times its transmission time on a link of 5 Mbit/s."""
+MAX_PART_TIMEOUT_S = 2.0
+"""Longest time-out of a part; each part that times out doubles it, as the link may be congested."""
+PUSH_TIMEOUT_S = 2.0
+"""Time-out of sending a complete configuration to the leader: 0.8 MB take 1.3 s at 5 Mbit/s."""
+EARLIER_VERSIONS = 2
+"""Number of earlier versions that are kept, since a member lags by only a few: each takes 2.5 MB
+with 4,000 queues."""
+MIN_REQUEST_INTERVAL_S = 0.3
+"""Shortest interval at which a leader requests a newer configuration from members."""
 
 _logger = logging.getLogger("sablemount.control.configuration")
 
@@ -60,10 +61,11 @@
 
 
 class ConfigurationFeed:
-    """Keeps the newest version; ``spawn`` runs what takes time, ``mbits`` is the own link's rate.
+    """Keeps the newest configuration, and transfers it from and to other processes.
 
-    What it asks of other processes comes in parts. What has come of a version is kept until that
-    is complete, or until this or a later one is known.
+    ``spawn`` starts a background task, and ``mbits`` is the rate of this machine's link. A
+    configuration is requested from other processes in parts. The parts received of a version are
+    kept until it is complete, or until this or a later version is known.
     """
 
     def __init__(
@@ -80,73 +82,73 @@
         self._spawn = spawn
         self._listeners: list[Callable[[Configuration], None]] = []
         self._changed = asyncio.Event()
-        """Set as soon as a version, a part or the end of a transfer has come."""
+        """Set when a version or a part arrives or a transfer ends."""
         self._pulling: asyncio.Task[None] | None = None
-        self._giving: asyncio.Task[None] | None = None
-        self._arriving: Arriving | None = None
-        self._queued = False
-        """Whether others have their turn first."""
-        self._timeout = FIRST_TIMEOUT
-        """Seconds that the next part may take."""
-        self._waits = False
-        """Whether the last call for a part has failed."""
+        self._pushing: asyncio.Task[None] | None = None
+        self._transfer: IncomingTransfer | None = None
+        self._deferred = False
+        """Whether the other side has asked this process to retry later."""
+        self._part_timeout = MIN_PART_TIMEOUT_S
+        """Time-out of the next part in seconds."""
+        self._stalled = False
+        """Whether the latest request for a part has failed."""
         self._behind_since: float | None = None
-        self._wanted_at = -WANTED_INTERVAL
+        self._requested_at = -MIN_REQUEST_INTERVAL_S
         self.gate = Gate(Configuration())
-        self._former: deque[Gate] = deque(maxlen=FORMER)
-        """Those of the versions before, the newest one last."""
-        self.told_of = -1
-        """The newest version that a leader has told of."""
+        self._earlier_gates: deque[Gate] = deque(maxlen=EARLIER_VERSIONS)
+        """Gates of earlier versions, the newest last."""
+        self.announced_version = -1
+        """The newest version that a leader has announced."""
         self.source = ConfigurationSource(mbits, figures, lambda: self.gate.configuration)
         self.confirmed_at = -1e9
-        """Local time at which the version in force was last known to be the newest one."""
+        """Local time at which the version in force was last known to be the newest."""
 
     @property
     def version(self) -> int:
-        """Return the version in force here; -1 before the first one."""
+        """Return the version in force in this process, -1 before the first one."""
         return self.gate.configuration.version
 
     @property
     def age(self) -> float:
-        """Return for how many seconds the version in force has not been confirmed."""
+        """Return the seconds since the version in force was last confirmed."""
         return monotonic() - self.confirmed_at
 
     def listen(self, listener: Callable[[Configuration], None]) -> Callable[[], None]:
-        """Hand on the version in force and each newer one; return what ends that."""
+        """Pass the version in force and each newer one to ``listener``; return a way to stop it."""
         self._listeners.append(listener)
         if self.version >= 0:
             listener(self.gate.configuration)
         return lambda: self._listeners.remove(listener)
 
-    # -- What comes --------------------------------------------------------------------------
+    # -- Updates -----------------------------------------------------------------------------
 
     def listed(self, items: Sequence[PageItem], end: int) -> None:
-        """Take the newest records of the topic."""
+        """Handle the list of the newest records of the topic."""
         self.told([item.record for item in items], end)
 
     def told(self, records: Sequence[Record], end: int) -> None:
-        """Take records of the topic."""
+        """Handle records of the topic."""
         for record in records:
             configuration = self._codec.configuration(record)
             if configuration is not None:
                 self.offer(configuration, "store")
 
     def confirmed(self, asked_at: float) -> None:
-        """Take that the store, asked at a local time, has nothing newer than was read."""
+        """Record that the store had nothing newer at the local time ``asked_at``."""
         self.confirmed_at = max(self.confirmed_at, asked_at)
 
     def offer(self, configuration: Configuration, source: str) -> bool:
-        """Take a configuration; tell whether it is newer than the one in force."""
+        """Adopt a configuration if it is newer than the one in force; return whether it is."""
         if configuration.version <= self.version:
             return False
-        self._former.append(self.gate)
+        self._earlier_gates.append(self.gate)
         self.gate = Gate(configuration)
         self._link.configuration = configuration.version
         self._behind_since = None
-        self._calm()
+        self._reset_timeout()
         self._figures.count("configuration", source)
         _logger.info(
-            "configuration known",
+            "configuration adopted",
             extra={
                 "version": configuration.version,
                 "source": source,
@@ -154,217 +156,221 @@
                 "organisations": len(configuration.organisations),
             },
         )
-        arriving = self._arriving
-        if arriving is not None and arriving.version <= configuration.version:
-            self._give_up(arriving, f"known from: {source}")
+        transfer = self._transfer
+        if transfer is not None and transfer.version <= configuration.version:
+            self._abandon(transfer, f"known from: {source}")
         for listener in list(self._listeners):
             listener(configuration)
-        self._wake()
+        self._notify_waiters()
         return True
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
     # -- The leader's side -------------------------------------------------------------------
 
     def pinged(self, link: Link, version: int) -> None:
-        """Take that a member at the other end of a link has some version."""
+        """Handle a ping of a member that has ``version``: request it if it is newer."""
         now = monotonic()
-        if version <= self.version or now - self._wanted_at < WANTED_INTERVAL:
+        if version <= self.version or now - self._requested_at < MIN_REQUEST_INTERVAL_S:
             return
-        self._wanted_at = now
+        self._requested_at = now
         self._pull_once(link.call, "member")
 
     def as_now(self, call: CallerCall) -> CallerCall:
-        """Return a call that an earlier version has admitted as the one in force does.
+        """Return a call that an earlier version has admitted as admitted by the one in force.
 
-        It stays as it is where both would not admit it alike.
+        The call is returned unchanged if the two versions would not admit it identically.
         """
-        for former in self._former:
-            if former.configuration.version == call.version and self.gate.admits_alike(
-                former, call
-            ):
+        for gate in self._earlier_gates:
+            if gate.configuration.version == call.version and self.gate.admits_alike(gate, call):
                 return msgspec.structs.replace(call, version=self.version)
         return call
 
     # -- A member's side ---------------------------------------------------------------------
 
     def heard(self, pong: Pong, asked_at: float) -> None:
-        """Take what the leader, asked at a local time, has told of its version."""
+        """Handle the leader's answer to a ping sent at the local time ``asked_at``."""
         now = monotonic()
-        self.told_of = max(self.told_of, pong.configuration)
+        self.announced_version = max(self.announced_version, pong.configuration)
         if pong.configuration <= self.version:
             self._behind_since = None
             if pong.configuration == self.version:
-                # The answer may have been on its way since then.
+                # The leader may have sent the answer as early as ``asked_at``.
                 self.confirmed(asked_at - pong.configuration_age)
-            if pong.wants_configuration and (self._giving is None or self._giving.done()):
-                self._giving = self._spawn(self._give())
+            if pong.wants_configuration and (self._pushing is None or self._pushing.done()):
+                self._pushing = self._spawn(self._push())
             return
         if self._behind_since is None:
             self._behind_since = now
-            self._spawn(self._pull_after(PULL_AFTER, pong.configuration))
-        elif now - self._behind_since > PULL_AFTER:
+            self._spawn(self._pull_after(PULL_DELAY_S, pong.configuration))
+        elif now - self._behind_since > PULL_DELAY_S:
             self._pull_once(self._link.call, "leader")
 
     async def _pull_after(self, seconds: float, version: int) -> None:
-        """Ask the leader for some version if it is not here after some seconds."""
+        """Request a version from the leader if it has not arrived after some seconds."""
         await asyncio.sleep(seconds)
         if self.version < version:
             self._pull_once(self._link.call, "leader")
 
-    async def _give(self) -> None:
+    async def _push(self) -> None:
         try:
-            await self._link.call(ConfigurationNews(self.gate.configuration), GIVE_TIMEOUT)
+            await self._link.call(ConfigurationNews(self.gate.configuration), PUSH_TIMEOUT_S)
         except CallFailed as failed:
-            _logger.info("configuration not given", extra={"why": str(failed)})
+            _logger.info(
+                "sending the configuration to the leader failed", extra={"why": str(failed)}
+            )
 
-    async def reach(self, version: int, seconds: float) -> bool:
-        """Wait until some version is in force here, for some seconds at most; return whether it is.
+    async def wait_for_version(self, version: int, seconds: float) -> bool:
+        """Wait until a version is in force, for some seconds at most; return whether it is.
 
-        If the store does not tell, the leader is asked. What can't come in time is not waited for.
+        If the store does not provide it, it is requested from the leader. A version that cannot
+        arrive in time is not waited for.
         """
-        last = monotonic() + seconds
+        deadline = monotonic() + seconds
         if self._pulling is None or self._pulling.done():
-            await self._read_here(version, min(seconds, OWN_READ_TIME))
-        while self.version < version and self._may_come(version, last):
+            await self._wait_for_own_read(version, min(seconds, OWN_READ_TIME_S))
+        while self.version < version and self._may_arrive_by(version, deadline):
             pulling = self._pull_once(self._link.call, "leader")
-            await set_within(self._changed, last - monotonic())
+            await set_within(self._changed, deadline - monotonic())
             if pulling.done():
                 break
         return self.version >= version
 
-    async def _read_here(self, version: int, seconds: float) -> None:
-        last = monotonic() + seconds
-        while self.version < version and monotonic() < last:
-            await set_within(self._changed, last - monotonic())
+    async def _wait_for_own_read(self, version: int, seconds: float) -> None:
+        deadline = monotonic() + seconds
+        while self.version < version and monotonic() < deadline:
+            await set_within(self._changed, deadline - monotonic())
 
-    def _may_come(self, version: int, last: float) -> bool:
-        """Tell whether some version may be here by some time."""
+    def _may_arrive_by(self, version: int, deadline: float) -> bool:
+        """Return whether a version may arrive by a local time."""
         now = monotonic()
-        if self._queued or now >= last:
+        if self._deferred or now >= deadline:
             return False
-        arriving = self._arriving
-        if arriving is None or arriving.version < version:
+        transfer = self._transfer
+        if transfer is None or transfer.version < version:
             return True
-        return now + arriving.left(now) <= last
+        return now + transfer.remaining_s(now) <= deadline
 
     # -- Transfers ---------------------------------------------------------------------------
 
     def _pull_once(self, call: Call, source: str) -> "asyncio.Task[None]":
-        """Return the transfer under way, or begin or go on with one."""
+        """Return the transfer in progress, or start or resume one."""
         if self._pulling is None or self._pulling.done():
             self._pulling = self._spawn(self._pull(call, source))
         return self._pulling
 
     async def _pull(self, call: Call, source: str) -> None:
-        """Ask for parts one after the other, until all are here or one does not come.
+        """Request parts one after the other, until all have arrived or a request fails.
 
-        Whoever is still behind then goes on with the next sign of life of the other side.
+        If the configuration is still incomplete then, the transfer resumes with the next heartbeat
+        of the other side.
         """
         try:
             while await self._pull_part(call, source):
                 pass
         finally:
-            self._queued = False
-            self._wake()
+            self._deferred = False
+            self._notify_waiters()
 
     async def _pull_part(self, call: Call, source: str) -> bool:
-        """Ask for a part; return whether to ask for the next one."""
+        """Request a part; return whether to request the next one."""
         asked_at = monotonic()
-        arriving = self._arriving
+        transfer = self._transfer
         message = ConfigurationCall(self.version, True)
-        if arriving is not None:
-            message = arriving.next_call(self.version)
+        if transfer is not None:
+            message = transfer.next_call(self.version)
         try:
-            reply = await call(message, self._timeout)
+            reply = await call(message, self._part_timeout)
         except CallFailed as failed:
-            self._failed(failed, source)
+            self._handle_failure(failed, source)
             return False
-        self._calm()
+        self._reset_timeout()
         if not isinstance(reply, ConfigurationReply):
             return False
         if reply.configuration is not None:
             self.offer(reply.configuration, source)
             return False
-        self._queued = reply.later > 0
-        if self._queued:
-            self._wake()
+        self._deferred = reply.later > 0
+        if self._deferred:
+            self._notify_waiters()
             await asyncio.sleep(reply.later)
             return True
-        return self._take(reply, asked_at, source)
+        return self._store_part(reply, asked_at, source)
 
-    def _calm(self) -> None:
-        """Take that an answer has come, or that none is needed."""
-        self._waits = False
-        self._timeout = FIRST_TIMEOUT
+    def _reset_timeout(self) -> None:
+        """Reset the time-out, after an answer or once none is needed."""
+        self._stalled = False
+        self._part_timeout = MIN_PART_TIMEOUT_S
 
-    def _failed(self, failed: CallFailed, source: str) -> None:
+    def _handle_failure(self, failed: CallFailed, source: str) -> None:
         self._figures.count("configuration_part", "failed")
         if failed.sent and not failed.closed:
-            self._timeout = min(LAST_TIMEOUT, 2 * self._timeout)
-        if not self._waits:
-            self._waits = True
+            self._part_timeout = min(MAX_PART_TIMEOUT_S, 2 * self._part_timeout)
+        if not self._stalled:
+            self._stalled = True
             extra = {"source": source, "why": str(failed), **self._progress()}
-            _logger.info("configuration waits", extra=extra)
+            _logger.info("configuration transfer stalled", extra=extra)
 
     def _progress(self) -> dict[str, int]:
-        arriving = self._arriving
-        if arriving is None:
+        transfer = self._transfer
+        if transfer is None:
             return {"got": 0}
-        return {"version": arriving.version, "got": arriving.got, "size": arriving.size}
+        return {"version": transfer.version, "got": transfer.received, "size": transfer.size}
 
-    def _take(self, reply: ConfigurationReply, asked_at: float, source: str) -> bool:
-        """Take a part; return whether to ask for the next one."""
+    def _store_part(self, reply: ConfigurationReply, asked_at: float, source: str) -> bool:
+        """Store a part; return whether to request the next one."""
         if reply.of <= self.version or not reply.part:
             return False
         self._figures.count("configuration_bytes", "got", len(reply.part))
-        arriving = self._arriving
-        if arriving is None or not arriving.add(reply):
+        transfer = self._transfer
+        if transfer is None or not transfer.add(reply):
             if reply.offset:
                 return False
-            arriving = self._begin(reply, asked_at, source)
-        if not arriving.complete:
-            self._wake()
+            transfer = self._start_transfer(reply, asked_at, source)
+        if not transfer.complete:
+            self._notify_waiters()
             return True
-        self._complete(arriving, source)
+        self._complete_transfer(transfer, source)
         return False
 
-    def _begin(self, reply: ConfigurationReply, asked_at: float, source: str) -> Arriving:
-        former = self._arriving
-        if former is not None:
-            self._give_up(former, "another one is in force there")
-        arriving = self._arriving = Arriving(reply, asked_at)
+    def _start_transfer(
+        self, reply: ConfigurationReply, asked_at: float, source: str
+    ) -> IncomingTransfer:
+        previous = self._transfer
+        if previous is not None:
+            self._abandon(previous, "another one is in force there")
+        transfer = self._transfer = IncomingTransfer(reply, asked_at)
         self._figures.count("configuration_transfer", "begun")
-        _logger.info("configuration arrives", extra={"source": source, **self._progress()})
-        return arriving
+        _logger.info("configuration transfer started", extra={"source": source, **self._progress()})
+        return transfer
 
-    def _complete(self, arriving: Arriving, source: str) -> None:
+    def _complete_transfer(self, transfer: IncomingTransfer, source: str) -> None:
         try:
-            configuration = arriving.configuration()
-        except BrokenParts as broken:
-            self._give_up(arriving, str(broken))
+            configuration = transfer.configuration()
+        except InvalidParts as broken:
+            self._abandon(transfer, str(broken))
             return
-        self._arriving = None
-        seconds = monotonic() - arriving.begun_at
+        self._transfer = None
+        seconds = monotonic() - transfer.begun_at
         self._figures.count("configuration_transfer", "ended")
         self._figures.observe("configuration_transfer", seconds)
         _logger.info(
-            "configuration arrived",
+            "configuration transfer complete",
             extra={
                 "source": source,
-                "version": arriving.version,
-                "size": arriving.size,
+                "version": transfer.version,
+                "size": transfer.size,
                 "seconds": round(seconds, 3),
             },
         )
         self.offer(configuration, source)
 
-    def _give_up(self, arriving: Arriving, why: str) -> None:
-        """Drop what has come of a version."""
-        seconds = round(monotonic() - arriving.begun_at, 3)
+    def _abandon(self, transfer: IncomingTransfer, why: str) -> None:
+        """Discard the parts received of a version."""
+        seconds = round(monotonic() - transfer.begun_at, 3)
         extra = {"why": why, "seconds": seconds, **self._progress()}
-        self._arriving = None
+        self._transfer = None
         self._figures.count("configuration_transfer", "given up")
-        _logger.info("configuration transfer given up", extra=extra)
+        _logger.info("configuration transfer abandoned", extra=extra)
--- a/src/sablemount/control/configuration_parts.py
+++ b/src/sablemount/control/configuration_parts.py
@@ -1,7 +1,7 @@
-"""A configuration as it goes from process to process: compressed, in parts of bounded size.
+"""Transfer of a configuration between processes: compressed, in parts of bounded size.
 
-Links carry the pings too, so that a part must pass the smallest link in a small part of the time
-after which a leader is suspected. What has arrived is kept from call to call.
+The links carry the pings as well, so the smallest link must transmit a part in a small fraction of
+the time after which a leader is suspected. Received parts are kept between calls.
 """
 
 import asyncio
@@ -12,42 +12,50 @@
 from sablemount.control.messages import ConfigurationCall, ConfigurationReply
 from sablemount.jobs.model import Configuration
 
-__all__ = ["PART_BYTES", "Arriving", "BrokenParts", "Packed", "Seats", "pack"]
+__all__ = [
+    "PART_BYTES",
+    "IncomingTransfer",
+    "InvalidParts",
+    "PackedConfiguration",
+    "TransferSlots",
+    "pack",
+]
 
 PART_BYTES = 24 * 1024
-"""Bytes of a part at most: 40 ms of a link of 5 Mbit/s, a quarter of an answer that counts as
-late."""
+"""Maximum size of a part: 40 ms of a link of 5 Mbit/s, a quarter of the delay from which an answer
+counts as late."""
 SLICE_BYTES = 64 * 1024
-"""Bytes that are compressed at once, in less than 1 ms, before others have their turn."""
-LEVEL = 1
-"""Of the compression: the usual one takes more than twice the time and saves a fifteenth."""
-SEAT_TIME = 1.0
-"""Seconds without a call after which a member's seat is free: twice a part's usual time-out."""
-LINGER = 0.1
-"""Seconds for which a seat is kept after the last part, which is still on its way."""
-WAITING_TIME = 0.5
-"""Seconds without a call after which a member waits no more: five times what it is told to wait."""
+"""Size that is compressed at a time, in less than 1 ms, before other tasks may run."""
+COMPRESSION_LEVEL = 1
+"""Compression level: the default level takes more than twice the time and saves a fifteenth."""
+SLOT_TIMEOUT_S = 1.0
+"""Time without a call after which a member's slot is released: twice a part's usual time-out."""
+LAST_PART_TIME_S = 0.1
+"""Time for which a slot is held after the last part was sent, while that is in transmission."""
+QUEUE_TIMEOUT_S = 0.5
+"""Time without a call after which a member leaves the queue: five times the retry delay that it is
+given."""
 
 _ENCODER = msgspec.msgpack.Encoder(order="deterministic")
-"""Gives the same bytes in each process, so that another one can go on where the first has ended."""
+"""Encodes to the same bytes in each process, so that another process can resume a transfer."""
 _DECODER = msgspec.msgpack.Decoder(Configuration)
 
 
-class BrokenParts(Exception):
-    """What has arrived is no configuration."""
+class InvalidParts(Exception):
+    """The received data are not a valid configuration."""
 
 
-class Packed(msgspec.Struct, frozen=True):
-    """A configuration as it is sent; ``raw`` is its size in bytes as it is."""
+class PackedConfiguration(msgspec.Struct, frozen=True):
+    """A compressed configuration; ``raw_size`` is its uncompressed size."""
 
     version: int
-    raw: int
+    raw_size: int
     data: bytes
     check: int
-    """Checksum of the data, which tells them from others of the same version."""
+    """Checksum of the data, which distinguishes them from other data of the same version."""
 
     def part(self, call: ConfigurationCall) -> ConfigurationReply:
-        """Return the part that a call asks for, the first one if it goes on with something else."""
+        """Return the requested part, or the first one if the call continues another transfer."""
         same = (call.of, call.check) == (self.version, self.check)
         offset = call.offset if same and 0 <= call.offset < len(self.data) else 0
         return ConfigurationReply(
@@ -59,23 +67,24 @@
         )
 
 
-async def pack(configuration: Configuration) -> Packed:
-    """Compress a configuration, in slices between which others have their turn."""
+async def pack(configuration: Configuration) -> PackedConfiguration:
+    """Compress a configuration in slices, between which other tasks may run."""
     raw = _ENCODER.encode(configuration)
-    compressor = zlib.compressobj(LEVEL)
-    found = bytearray()
+    compressor = zlib.compressobj(COMPRESSION_LEVEL)
+    compressed = bytearray()
     for start in range(0, len(raw), SLICE_BYTES):
-        found += compressor.compress(raw[start : start + SLICE_BYTES])
+        compressed += compressor.compress(raw[start : start + SLICE_BYTES])
         await asyncio.sleep(0)
-    found += compressor.flush()
-    data = bytes(found)
-    return Packed(configuration.version, len(raw), data, zlib.crc32(data))
+    compressed += compressor.flush()
+    data = bytes(compressed)
+    return PackedConfiguration(configuration.version, len(raw), data, zlib.crc32(data))
 
 
-class Arriving:
-    """A configuration of which some parts have come; ``begun_at`` is when the first was asked for.
+class IncomingTransfer:
+    """A configuration of which some parts have been received.
 
-    Pure. ``reply`` has its first part.
+    ``reply`` has the first part, and ``begun_at`` is the time at which that was requested. Does no
+    I/O and reads no clock.
     """
 
     def __init__(self, reply: ConfigurationReply, begun_at: float) -> None:
@@ -86,64 +95,64 @@
         self._data = bytearray(reply.part)
 
     @property
-    def got(self) -> int:
-        """Return how many bytes have come."""
+    def received(self) -> int:
+        """Return the number of bytes received."""
         return len(self._data)
 
     @property
     def complete(self) -> bool:
-        """Tell whether all parts have come."""
+        """Return whether all parts have been received."""
         return len(self._data) >= self.size
 
-    def left(self, now: float) -> float:
-        """Return the seconds that the rest takes at the pace so far."""
-        return (now - self.begun_at) * (self.size - self.got) / max(1, self.got)
+    def remaining_s(self, now: float) -> float:
+        """Return the estimated seconds until completion at the average rate so far."""
+        return (now - self.begun_at) * (self.size - self.received) / max(1, self.received)
 
     def next_call(self, version: int) -> ConfigurationCall:
-        """Return what asks for the next part, for a process that has some version."""
-        return ConfigurationCall(version, True, self.version, self._check, self.got)
+        """Return the request for the next part, for a process that has ``version``."""
+        return ConfigurationCall(version, True, self.version, self._check, self.received)
 
     def add(self, reply: ConfigurationReply) -> bool:
-        """Take a part; tell whether it is the next one."""
-        if (reply.of, reply.check, reply.offset) != (self.version, self._check, self.got):
+        """Append a part if it is the next one; return whether it is."""
+        if (reply.of, reply.check, reply.offset) != (self.version, self._check, self.received):
             return False
         self._data += reply.part
         return True
 
     def configuration(self) -> Configuration:
-        """Return what has come in all; raises ``BrokenParts``."""
+        """Return the complete configuration; raises ``InvalidParts``."""
         if zlib.crc32(self._data) != self._check:
-            raise BrokenParts("the checksum is wrong")
+            raise InvalidParts("checksum mismatch")
         try:
             return _DECODER.decode(zlib.decompress(self._data))
         except (zlib.error, msgspec.MsgspecError) as error:
-            raise BrokenParts(str(error)) from error
+            raise InvalidParts(str(error)) from error
 
 
-class Seats:
-    """Which members are served, a few at a time and in the order in which they first asked. Pure.
+class TransferSlots:
+    """Limits how many members are served at a time, in the order of their first requests.
 
-    Whoever is served has one part on its way at most.
+    A member that is served has at most one part in transmission. Does no I/O and reads no clock.
     """
 
     def __init__(self) -> None:
-        self._taken: dict[str, float] = {}
-        """Until when members have their seats."""
-        self._waiting: dict[str, float] = {}
-        """Until when members wait for one, in the order in which they came."""
-
-    def take(self, peer: str, count: int, now: float) -> bool:
-        """Tell whether a member that asks has one of some seats."""
-        self._taken = {name: until for name, until in self._taken.items() if until > now}
-        self._waiting = {name: until for name, until in self._waiting.items() if until > now}
-        if peer not in self._taken:
-            self._waiting[peer] = now + WAITING_TIME
-            if list(self._waiting).index(peer) >= count - len(self._taken):
+        self._slots: dict[str, float] = {}
+        """When the slot of each member expires."""
+        self._queue: dict[str, float] = {}
+        """When each waiting member leaves the queue, in the order of arrival."""
+
+    def acquire(self, peer: str, count: int, now: float) -> bool:
+        """Try to give a member one of ``count`` slots; return whether it has one."""
+        self._slots = {name: until for name, until in self._slots.items() if until > now}
+        self._queue = {name: until for name, until in self._queue.items() if until > now}
+        if peer not in self._slots:
+            self._queue[peer] = now + QUEUE_TIMEOUT_S
+            if list(self._queue).index(peer) >= count - len(self._slots):
                 return False
-            del self._waiting[peer]
-        self._taken[peer] = now + SEAT_TIME
+            del self._queue[peer]
+        self._slots[peer] = now + SLOT_TIMEOUT_S
         return True
 
-    def last(self, peer: str, now: float) -> None:
-        """Take that a member has been sent its last part."""
-        self._taken[peer] = now + LINGER
+    def release_soon(self, peer: str, now: float) -> None:
+        """Release a member's slot soon, as its last part has been sent."""
+        self._slots[peer] = now + LAST_PART_TIME_S
--- a/src/sablemount/control/vm_calls.py
+++ b/src/sablemount/control/vm_calls.py
@@ -225,7 +225,7 @@
         return SILENT_HOLD_TIMEOUT_S if silent else wait + HOLD_SLACK_S
 
     async def _handle_report(self, row: VmRow, report: Heard) -> None:
-        self._scheduler.report(report)
+        self._scheduler.heard(report)
         self._kick()
         if row.seen_end <= row.acked_end:
             if self._scheduler.acks.pending(row) and not self._scheduler.acks.due(row):
--- a/tests/jobs/test_configuration_parts.py
+++ b/tests/jobs/test_configuration_parts.py
@@ -13,10 +13,10 @@
 from sablemount.control.configuration_feed import ConfigurationFeed
 from sablemount.control.configuration_parts import (
     PART_BYTES,
-    Arriving,
-    BrokenParts,
-    Packed,
-    Seats,
+    IncomingTransfer,
+    InvalidParts,
+    PackedConfiguration,
+    TransferSlots,
     pack,
 )
 from sablemount.control.configuration_source import LATER, ConfigurationSource
@@ -50,17 +50,17 @@
     return Configuration(version, (queue,), keyed=True, organisations=found)
 
 
-def _packed(configuration: Configuration) -> Packed:
+def _packed(configuration: Configuration) -> PackedConfiguration:
     return run(pack(configuration))
 
 
-def _arrive(packed: Packed) -> Arriving:
-    arriving = Arriving(packed.part(ConfigurationCall(-1, True)), 0.0)
-    while not arriving.complete:
-        reply = packed.part(arriving.next_call(-1))
+def _arrive(packed: PackedConfiguration) -> IncomingTransfer:
+    transfer = IncomingTransfer(packed.part(ConfigurationCall(-1, True)), 0.0)
+    while not transfer.complete:
+        reply = packed.part(transfer.next_call(-1))
         assert 0 < len(reply.part) <= PART_BYTES
-        assert arriving.add(reply)
-    return arriving
+        assert transfer.add(reply)
+    return transfer
 
 
 # -- Parts -----------------------------------------------------------------------------------
@@ -74,26 +74,26 @@
 
 def test_parts_of_another_version_are_not_taken_for_the_next() -> None:
     packed, other = _packed(_configuration(3)), _packed(_configuration(4))
-    arriving = Arriving(packed.part(ConfigurationCall(-1, True)), 0.0)
-    reply = other.part(arriving.next_call(-1))
+    transfer = IncomingTransfer(packed.part(ConfigurationCall(-1, True)), 0.0)
+    reply = other.part(transfer.next_call(-1))
     assert reply.offset == 0
-    assert not arriving.add(reply)
-    assert arriving.got == PART_BYTES
+    assert not transfer.add(reply)
+    assert transfer.received == PART_BYTES
 
 
 def test_a_part_that_comes_twice_counts_once() -> None:
     packed = _packed(_configuration(3))
-    arriving = Arriving(packed.part(ConfigurationCall(-1, True)), 0.0)
-    second = packed.part(arriving.next_call(-1))
-    assert arriving.add(second)
-    assert not arriving.add(second)
-    assert arriving.got == 2 * PART_BYTES
+    transfer = IncomingTransfer(packed.part(ConfigurationCall(-1, True)), 0.0)
+    second = packed.part(transfer.next_call(-1))
+    assert transfer.add(second)
+    assert not transfer.add(second)
+    assert transfer.received == 2 * PART_BYTES
 
 
 def test_what_was_damaged_is_no_configuration() -> None:
     packed = _packed(_configuration(3))
     damaged = msgspec.structs.replace(packed, data=packed.data[:-1] + b"\0")
-    with pytest.raises(BrokenParts):
+    with pytest.raises(InvalidParts):
         _arrive(damaged).configuration()
 
 
@@ -121,31 +121,31 @@
 
 
 def test_only_so_many_are_served_at_a_time() -> None:
-    seats = Seats()
-    assert [seats.take(name, 2, 0.0) for name in "abcd"] == [True, True, False, False]
-    assert [seats.take(name, 2, 0.1) for name in "dcba"] == [False, False, True, True]
+    seats = TransferSlots()
+    assert [seats.acquire(name, 2, 0.0) for name in "abcd"] == [True, True, False, False]
+    assert [seats.acquire(name, 2, 0.1) for name in "dcba"] == [False, False, True, True]
 
 
 def test_whoever_came_first_is_next() -> None:
-    seats = Seats()
-    assert [seats.take(name, 1, 0.0) for name in "abc"] == [True, False, False]
-    seats.last("a", 0.1)
-    assert [seats.take(name, 1, 0.3) for name in "cb"] == [False, True]
+    seats = TransferSlots()
+    assert [seats.acquire(name, 1, 0.0) for name in "abc"] == [True, False, False]
+    seats.release_soon("a", 0.1)
+    assert [seats.acquire(name, 1, 0.3) for name in "cb"] == [False, True]
 
 
 def test_the_last_part_is_on_its_way_before_the_next_member_is_served() -> None:
-    seats = Seats()
-    assert seats.take("a", 1, 0.0)
-    seats.last("a", 0.0)
-    assert not seats.take("b", 1, 0.05)
-    assert seats.take("b", 1, 0.15)
+    seats = TransferSlots()
+    assert seats.acquire("a", 1, 0.0)
+    seats.release_soon("a", 0.0)
+    assert not seats.acquire("b", 1, 0.05)
+    assert seats.acquire("b", 1, 0.15)
 
 
 def test_whoever_asks_no_more_keeps_nobody_out() -> None:
-    seats = Seats()
-    assert [seats.take(name, 1, 0.0) for name in "abc"] == [True, False, False]
-    assert not seats.take("c", 1, 0.9)
-    assert seats.take("c", 1, 1.1)
+    seats = TransferSlots()
+    assert [seats.acquire(name, 1, 0.0) for name in "abc"] == [True, False, False]
+    assert not seats.acquire("c", 1, 0.9)
+    assert seats.acquire("c", 1, 1.1)
 
 
 # -- Whom a source serves --------------------------------------------------------------------
@@ -299,7 +299,7 @@
         configuration = _configuration(3)
         leader = _OldLeader(configuration, 0.1)
         feed = _feed(leader)
-        reached = await asyncio.gather(*(feed.reach(3, 0.4) for _ in range(50)))
+        reached = await asyncio.gather(*(feed.wait_for_version(3, 0.4) for _ in range(50)))
         assert all(reached)
         assert len(leader.asked) == 1
 
@@ -311,7 +311,7 @@
         loop = asyncio.get_running_loop()
         feed = _feed(_OldLeader(_configuration(3), 30.0))
         began = loop.time()
-        assert not await feed.reach(3, 0.4)
+        assert not await feed.wait_for_version(3, 0.4)
         assert loop.time() - began < 0.41
 
     run(scenario())
@@ -323,7 +323,7 @@
         feed = _feed(_OldLeader(_configuration(3)))
         feed._link.leads = False
         began = loop.time()
-        assert not await feed.reach(3, 0.4)
+        assert not await feed.wait_for_version(3, 0.4)
         assert loop.time() - began < 0.06
 
     run(scenario())
--- a/tests/jobs/test_large_configuration.py
+++ b/tests/jobs/test_large_configuration.py
@@ -173,9 +173,9 @@
 
     run(scenario())
     lines = [record.message for record in caplog.records]
-    assert lines.count("configuration arrives") == 1
-    assert lines.count("configuration waits") == 1
-    assert lines.count("configuration arrived") == 1
+    assert lines.count("configuration transfer started") == 1
+    assert lines.count("configuration transfer stalled") == 1
+    assert lines.count("configuration transfer complete") == 1
 
 
 def test_a_later_version_is_begun_anew() -> None:
