--- a/src/sablemount/control/advice_calls.py
+++ b/src/sablemount/control/advice_calls.py
@@ -1,4 +1,4 @@
-"""Calls for advice, from this process or from the member that is the lane."""
+"""Calls to the advice service, from this process or through the member that has a call slot."""
 
 from collections.abc import Callable
 
@@ -14,14 +14,17 @@
 __all__ = ["AdviceCalls"]
 
 TIMEOUT_FACTOR = 2.0
-"""How many times its expected time a call may take."""
-ADVICE_SLACK = 0.25
-"""Seconds beyond that, and once more for the way to the lane."""
-NO_ANSWER = AdviceReply(False)
+"""Time-out of a call, as a multiple of its expected time."""
+TIMEOUT_SLACK_S = 0.25
+"""Added to the time-out, and once more if the call goes through another member."""
+FAILED_REPLY = AdviceReply(False)
 
 
 class AdviceCalls:
-    """Asks for one leadership; ``woken`` lets the scheduler look at its clock and run soon."""
+    """Calls the advice service for one leadership.
+
+    ``wake`` lets the scheduler update its clock and run soon.
+    """
 
     def __init__(
         self,
@@ -29,37 +32,37 @@
         advice: Advice,
         port: AdvicePort,
         members: Members,
-        figures: Figures,
-        woken: Callable[[], None],
+        metrics: Figures,
+        wake: Callable[[], None],
     ) -> None:
         self._name = name
         self._advice = advice
         self._port = port
         self._members = members
-        self._figures = figures
-        self._woken = woken
+        self._metrics = metrics
+        self._wake = wake
 
     async def ask(self, action: AskAdvice) -> None:
-        """Ask, and let the scheduler know."""
+        """Call the service and pass the result to the scheduler."""
         sent_at = monotonic()
-        reply = await self._ask(action, TIMEOUT_FACTOR * action.cost + ADVICE_SLACK)
-        self._figures.observe("advice", monotonic() - sent_at)
-        self._figures.count("advice", "answered" if reply.ok else "failed")
-        self._woken()
+        reply = await self._call(action, TIMEOUT_FACTOR * action.cost + TIMEOUT_SLACK_S)
+        self._metrics.observe("advice", monotonic() - sent_at)
+        self._metrics.count("advice", "answered" if reply.ok else "failed")
+        self._wake()
         if reply.ok:
             self._advice.answered(action.lane, action.step, action.vms, reply.good, reply.valid_ms)
         else:
             self._advice.failed(action.lane, action.step)
 
-    async def _ask(self, action: AskAdvice, timeout: float) -> AdviceReply:
+    async def _call(self, action: AskAdvice, timeout: float) -> AdviceReply:
         if action.lane == self._name:
             return await self._port.advise(action.step, action.vms, timeout)
         link = self._members.link(action.lane)
         if link is None:
-            return NO_ANSWER
+            return FAILED_REPLY
         call = AdviseCall(action.step, action.vms, timeout)
         try:
-            reply = await link.call(call, timeout + ADVICE_SLACK)
+            reply = await link.call(call, timeout + TIMEOUT_SLACK_S)
         except CallFailed:
-            return NO_ANSWER
-        return reply if isinstance(reply, AdviceReply) else NO_ANSWER
+            return FAILED_REPLY
+        return reply if isinstance(reply, AdviceReply) else FAILED_REPLY
--- a/src/sablemount/control/caller_route.py
+++ b/src/sablemount/control/caller_route.py
@@ -1,4 +1,4 @@
-"""The way of a caller's request: from the member that took it to the leader or its successor."""
+"""Routes callers' requests from the member that received them to the leader or its successor."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,31 +23,31 @@
 
 __all__ = ["CallerRoute"]
 
-CALL_TIMEOUT = 2.0
-"""Seconds that the leader has to answer a caller's request, below the 3 s that callers wait."""
+CALL_TIMEOUT_S = 2.0
+"""Time-out of a request to the leader, below the 3 s that callers wait."""
 HAND_OVER_WAIT = 0.4
-"""Seconds that a request waits for a new leader: one that was killed is replaced in 0.3 to 0.4 s,
-and a caller that is refused comes back a second later."""
-HAND_OVER_TIME = 0.5
-"""Seconds after which a change of leader counts as an outage, and requests are refused at once."""
-HAND_OVER_POLL = 0.01
-"""Seconds between looks at whether somebody leads."""
-UNCERTAIN_WAIT = 2.0
-"""Seconds for which a request whose answer was lost with the leader is asked of the next one.
-
-It may have taken effect, which only the next leader can tell. That one is there within 1 s mostly,
-within 2 s in a store 91 times slower than usual, and callers wait 3 s."""
-REFUSALS = (Outcome.NOT_TAKEN, Outcome.NO_QUEUE, Outcome.NO_KEY, Outcome.NAME_TAKEN)
-"""Answers that would be wrong if an earlier try took effect."""
+"""How long a request waits for a new leader: a leader that was killed is replaced within 0.3 to
+0.4 s, and a refused caller retries only after a second."""
+OUTAGE_AFTER_S = 0.5
+"""Time without a leader after which this counts as an outage and requests are refused at once."""
+LEADER_POLL_INTERVAL_S = 0.01
+"""Interval of checking whether there is a leader."""
+UNCERTAIN_WAIT_S = 2.0
+"""How long a request whose answer was lost with the leader is retried at the next leader.
+
+The request may have taken effect, which only the next leader knows. It usually takes over within
+1 s, and within 2 s with a store 91 times slower than usual; callers wait 3 s."""
+REFUSED_OUTCOMES = (Outcome.NOT_TAKEN, Outcome.NO_QUEUE, Outcome.NO_KEY, Outcome.NAME_TAKEN)
+"""Outcomes that would be wrong if an earlier attempt took effect."""
 
 UNCONFIRMED = "the configuration is not confirmed here"
 
 
 class CallerRoute:
-    """Admits callers' requests and brings each to whoever leads.
+    """Admits callers' requests and forwards each to the current leader.
 
-    ``leading`` returns the leadership of this process, if it leads, and ``served_at`` the local
-    time at which it last led or heard a leader that leads.
+    ``leading`` returns the ``Leader`` of this process while it leads, and ``served_at`` the local
+    time at which it last led or received a heartbeat from an active leader.
     """
 
     def __init__(
@@ -55,60 +55,62 @@
         settings: MemberSettings,
         link: LeaderLink,
         feed: ConfigurationFeed,
-        figures: Figures,
+        metrics: Figures,
         leading: Callable[[], Leader | None],
         served_at: Callable[[], float],
     ) -> None:
         self._settings = settings
         self._link = link
         self._feed = feed
-        self._figures = figures
+        self._metrics = metrics
         self._leading = leading
         self._served_at = served_at
         self._started_at = monotonic()
 
     async def serve(self, call: CallerCall, timeout: float, digest: bytes | None) -> CallerReply:
         """Answer a request within ``timeout`` seconds; ``digest`` is that of its key, if any."""
-        began = monotonic()
+        started_at = monotonic()
         reply = await self._serve(call, timeout, digest)
-        self._figures.observe("request", monotonic() - began)
-        self._figures.count("request", reply.outcome.name.lower())
+        self._metrics.observe("request", monotonic() - started_at)
+        self._metrics.count("request", reply.outcome.name.lower())
         return reply
 
     async def _serve(self, call: CallerCall, timeout: float, digest: bytes | None) -> CallerReply:
-        """Ask the leader, and its successor if the lead changes hands meanwhile.
+        """Forward a request to the leader, or to its successor if the leadership changes.
 
-        A job keeps its name, so that it may be handed in again after a lost answer. Each try is
-        admitted anew, since the configuration may have changed.
+        A job keeps its name, so that it may be submitted again after a lost answer. Each attempt is
+        admitted again, since the configuration may have changed.
         """
-        began = monotonic()
+        started_at = monotonic()
         uncertain = False
         while True:
-            await self._await_leader(began + HAND_OVER_WAIT)
-            reply = await self._try(call, timeout - (monotonic() - began), digest)
+            await self._wait_for_leader(started_at + HAND_OVER_WAIT)
+            reply = await self._attempt(call, timeout - (monotonic() - started_at), digest)
             uncertain = uncertain or reply.outcome is Outcome.UNKNOWN
-            limit = UNCERTAIN_WAIT if uncertain else HAND_OVER_WAIT
-            if not reply.changing or monotonic() - began > limit:
+            limit = UNCERTAIN_WAIT_S if uncertain else HAND_OVER_WAIT
+            if not reply.changing or monotonic() - started_at > limit:
                 break
-            if not await self._feed.wait_for_version(reply.version, began + limit - monotonic()):
+            if not await self._feed.wait_for_version(
+                reply.version, started_at + limit - monotonic()
+            ):
                 break
-            await asyncio.sleep(HAND_OVER_POLL)
-        if uncertain and reply.outcome in REFUSALS:
+            await asyncio.sleep(LEADER_POLL_INTERVAL_S)
+        if uncertain and reply.outcome in REFUSED_OUTCOMES:
             return CallerReply(Outcome.UNKNOWN, reason=reply.reason)
         return reply
 
-    async def _await_leader(self, last: float) -> None:
-        """Wait a moment while the lead changes hands, or while this process finds who leads."""
-        while self._leading() is None and not self._link.leads and monotonic() < last:
-            since = max(self._served_at(), self._started_at)
-            if monotonic() - since > HAND_OVER_TIME:
+    async def _wait_for_leader(self, deadline: float) -> None:
+        """Wait until ``deadline`` while the leadership changes or this process finds the leader."""
+        while self._leading() is None and not self._link.leads and monotonic() < deadline:
+            served_at = max(self._served_at(), self._started_at)
+            if monotonic() - served_at > OUTAGE_AFTER_S:
                 return
-            await asyncio.sleep(HAND_OVER_POLL)
+            await asyncio.sleep(LEADER_POLL_INTERVAL_S)
 
-    # -- One try -----------------------------------------------------------------------------
+    # -- One attempt -------------------------------------------------------------------------
 
-    async def _try(self, call: CallerCall, timeout: float, digest: bytes | None) -> CallerReply:
-        """Admit a call and ask the leader, which takes it only if both know one configuration."""
+    async def _attempt(self, call: CallerCall, timeout: float, digest: bytes | None) -> CallerReply:
+        """Admit a call and forward it to the leader, which must have the same configuration."""
         admitted = self._feed.gate.admit(call, digest)
         if isinstance(admitted, CallerReply):
             return self._refusal(admitted)
@@ -120,16 +122,17 @@
         return msgspec.structs.replace(reply, organisation=admitted.organisation)
 
     def _refusal(self, refused: CallerReply) -> CallerReply:
-        """Return the answer to a call that is not admitted by the version here."""
-        if not self._current():
+        """Return the answer to a call that is not admitted by the version in force here."""
+        if not self._is_current():
             return not_taken(UNCONFIRMED, changing=True)
         newer = self._feed.announced_version
         return other_version(newer) if newer > self._feed.version else refused
 
-    def _current(self) -> bool:
-        """Tell whether this process leads or hears the leader, so that it knows what is in force.
+    def _is_current(self) -> bool:
+        """Return whether this process leads or is in contact with the leader.
 
-        One that doesn't may have missed a change, and must not refuse by what it knows.
+        Otherwise it may have missed a change of the configuration and must not refuse callers by
+        its own version.
         """
         leader = self._leading()
         return self._link.leads if leader is None else leader.authority()
@@ -139,15 +142,15 @@
         if leader is not None:
             return await leader.serve(call)
         try:
-            reply = await self._link.call(call, min(timeout, CALL_TIMEOUT))
+            reply = await self._link.call(call, min(timeout, CALL_TIMEOUT_S))
         except CallFailed as failed:
-            return _failed(call, failed)
+            return _reply_to_failure(call, failed)
         assert isinstance(reply, CallerReply)
         return reply
 
 
-def _failed(call: CallerCall, failed: CallFailed) -> CallerReply:
-    """Return the answer to a call whose own was lost; it tells whether it may have run."""
+def _reply_to_failure(call: CallerCall, failed: CallFailed) -> CallerReply:
+    """Return the answer for a call without a reply; it shows whether the call may have run."""
     if failed.sent and call.operation is not Operation.STATE:
         return CallerReply(Outcome.UNKNOWN, reason=str(failed), changing=failed.closed)
     return not_taken(str(failed), changing=not failed.sent or failed.closed)
--- a/src/sablemount/control/callers.py
+++ b/src/sablemount/control/callers.py
@@ -1,4 +1,4 @@
-"""The leader's answers to callers' requests."""
+"""Handling of callers' requests by the leader."""
 
 import asyncio
 import logging
@@ -21,12 +21,12 @@
 
 __all__ = ["Callers"]
 
-ACCEPT_TIMEOUT = 1.5
-"""Seconds after which a caller is told that its job may have been accepted."""
-STUCK_POLL = 0.1
-"""Seconds between looks at whether a job that was not sent yet has to be refused."""
-MAX_NAME = 64
-"""Characters of a job's name at most; the platform's have 16."""
+ACCEPT_TIMEOUT_S = 1.5
+"""Time after which a caller is answered that its job may have been accepted."""
+STORE_POLL_INTERVAL_S = 0.1
+"""Interval of checking whether a job that was not yet sent to the store has to be refused."""
+MAX_NAME_LENGTH = 64
+"""Maximum length of a job's name; the platform's names have 16 characters."""
 STORE_SILENT = "the store has not answered"
 NO_JOB = "no such job"
 
@@ -34,28 +34,29 @@
 
 
 class Callers:
-    """Serves callers.
+    """Answers callers' requests for one leadership.
 
-    ``sure`` tells whether this process may give orders, and ``confirmed`` whether the store has
-    said so of late: without that, another leader may know jobs that are not known here.
+    ``has_authority`` returns whether this process has the authority to lead, and ``confirmed``
+    whether the store has recently confirmed it: without that, another leader may have accepted jobs
+    that are not known here. ``kick`` lets the scheduler act on a change.
     """
 
     def __init__(
         self,
         scheduler: JobScheduler,
         commits: CommitLoop,
-        sure: Callable[[], bool],
+        has_authority: Callable[[], bool],
         confirmed: Callable[[], bool],
         kick: Callable[[], None],
     ) -> None:
         self._scheduler = scheduler
         self._commits = commits
-        self._sure = sure
+        self._has_authority = has_authority
         self._confirmed = confirmed
         self._kick = kick
         self._configuration = Configuration()
         self._queues = QueueTable(())
-        """Its queues."""
+        """The queues of ``_configuration``."""
 
     def _queues_of(self, configuration: Configuration) -> QueueTable:
         if configuration is not self._configuration:
@@ -65,7 +66,7 @@
 
     async def serve(self, call: CallerCall) -> CallerReply:
         """Answer a caller's request."""
-        if not self._sure():
+        if not self._has_authority():
             return not_taken("the leader is not sure that it leads", changing=True)
         configuration = self._scheduler.state.configuration
         if configuration.version < 0:
@@ -80,14 +81,14 @@
             return await self._submit(queue, name, call)
         if not name:
             return CallerReply(Outcome.DONE, waiting=self._scheduler.waiting(queue.terms.name))
-        if self._hidden(name, queue, call):
+        if self._is_hidden(name, queue, call):
             return self._no_job()
         if call.operation is Operation.CANCEL:
             return await self._cancel(name)
         return self._state(name)
 
-    def _hidden(self, name: str, queue: Queue, call: CallerCall) -> bool:
-        """Tell whether a job is as good as unknown to a caller: it is another organisation's."""
+    def _is_hidden(self, name: str, queue: Queue, call: CallerCall) -> bool:
+        """Return whether a job is hidden from a caller because another organisation owns it."""
         job = self._scheduler.state.jobs.get(name)
         if job is None or job.organisation in ("", call.organisation):
             return False
@@ -112,53 +113,53 @@
         if spec is None or fault is not None:
             fault = fault or SpecError("$", "no job")
             return CallerReply(Outcome.INVALID, path=fault.path, reason=fault.reason)
-        if self._hidden(name, queue, call):
+        if self._is_hidden(name, queue, call):
             return CallerReply(Outcome.NAME_TAKEN, reason="the name is not available")
         known = self._scheduler.state.jobs.get(name)
         if known is None:
             fault = self._scheduler.record_fault(name, queue, spec, call.organisation)
-            fault = fault or self._beyond_cap(call.organisation, spec)
+            fault = fault or self._cap_fault(call.organisation, spec)
             if fault is not None:
                 return CallerReply(Outcome.INVALID, path=fault.path, reason=fault.reason)
         if self._commits.stuck():
-            refusal = _refusal(known)
+            refusal = _refusal_while_silent(known)
             if refusal is not None:
                 return refusal
         self._scheduler.now()
         if self._scheduler.submit(name, queue, spec, call.organisation) is Submission.KNOWN:
-            self._tell("job known", name, queue)
+            self._log("job known", name, queue)
             return CallerReply(Outcome.DONE, state="known")
         self._kick()
-        return await self._accepted(name, queue)
+        return await self._wait_for_acceptance(name, queue)
 
-    def _beyond_cap(self, name: str, spec: JobSpec) -> SpecError | None:
-        """Return what of a job its organisation's cap can never hold."""
+    def _cap_fault(self, name: str, spec: JobSpec) -> SpecError | None:
+        """Return the part of a job that can never fit into its organisation's cap, if any."""
         organisation = self._scheduler.state.organisations.get(name)
         return None if organisation is None else cap_fault(spec, organisation.cap)
 
-    async def _accepted(self, name: str, queue: Queue) -> CallerReply:
-        noted = self._commits.noted()
-        last = monotonic() + ACCEPT_TIMEOUT
-        while not noted.done() and monotonic() < last:
-            await asyncio.wait([noted], timeout=STUCK_POLL)
+    async def _wait_for_acceptance(self, name: str, queue: Queue) -> CallerReply:
+        recorded = self._commits.noted()
+        deadline = monotonic() + ACCEPT_TIMEOUT_S
+        while not recorded.done() and monotonic() < deadline:
+            await asyncio.wait([recorded], timeout=STORE_POLL_INTERVAL_S)
             if self._commits.stuck() and self._scheduler.withdraw(name):
                 return not_taken("the store does not answer")
         job = self._scheduler.state.jobs.get(name)
         if job is not None and job.durable:
-            self._tell("job accepted", name, queue)
+            self._log("job accepted", name, queue)
             return CallerReply(Outcome.DONE)
         if self._scheduler.withdraw(name):
-            return not_taken("the store does not answer", changing=not self._sure())
-        self._tell("job uncertain", name, queue)
-        return self._unknown()
+            return not_taken("the store does not answer", changing=not self._has_authority())
+        self._log("job uncertain", name, queue)
+        return self._unknown_outcome()
 
-    def _tell(self, text: str, name: str, queue: Queue) -> None:
+    def _log(self, text: str, name: str, queue: Queue) -> None:
         epoch = self._scheduler.state.epoch
         _logger.info(text, extra={"job": name, "queue": queue.terms.name, "epoch": epoch})
 
-    def _unknown(self) -> CallerReply:
-        """Return the answer to what may be in the store; a later leader can tell."""
-        return CallerReply(Outcome.UNKNOWN, reason=STORE_SILENT, changing=not self._sure())
+    def _unknown_outcome(self) -> CallerReply:
+        """Return the answer to a request that may be stored; a later leader knows the outcome."""
+        return CallerReply(Outcome.UNKNOWN, reason=STORE_SILENT, changing=not self._has_authority())
 
     # -- Cancellations -----------------------------------------------------------------------
 
@@ -169,21 +170,21 @@
             return self._no_job()
         self._kick()
         if job.shown is not JobState.CANCELLED and not job.shown.final:
-            await asyncio.wait([self._commits.noted()], timeout=ACCEPT_TIMEOUT)
+            await asyncio.wait([self._commits.noted()], timeout=ACCEPT_TIMEOUT_S)
         if not job.shown.final:
-            return self._unknown()
+            return self._unknown_outcome()
         _logger.info("job cancelled", extra={"job": name, "state": job.shown.name.lower()})
         return CallerReply(Outcome.DONE, state=job.shown.name.lower())
 
 
 def _fault(name: str, spec: JobSpec | None) -> SpecError | None:
-    if not (0 < len(name) <= MAX_NAME and name.isascii() and name.isalnum()):
+    if not (0 < len(name) <= MAX_NAME_LENGTH and name.isascii() and name.isalnum()):
         return SpecError("$.id", "not a name of a job")
     return None if spec is None else check_spec(spec)
 
 
-def _refusal(known: JobRow | None) -> CallerReply | None:
-    """Return the answer to a submission while the store is stuck; ``None`` if it is accepted."""
+def _refusal_while_silent(known: JobRow | None) -> CallerReply | None:
+    """Return the refusal of a submission while the store is silent, ``None`` for a stored job."""
     if known is None:
         return not_taken("the store does not answer")
     if not known.durable:
--- a/src/sablemount/control/commit_loop.py
+++ b/src/sablemount/control/commit_loop.py
@@ -35,13 +35,13 @@
         self,
         scheduler: JobScheduler,
         committer: Committer,
-        figures: Figures,
+        metrics: Figures,
         on_durable: Callable[[float], None],
         keep: Callable[["asyncio.Task[None]"], None],
     ) -> None:
         self._scheduler = scheduler
         self._committer = committer
-        self._figures = figures
+        self._metrics = metrics
         self._on_durable = on_durable
         self._keep = keep
         self._requested = asyncio.Event()
@@ -125,8 +125,8 @@
     async def _append(self, batch: Batch) -> None:
         sent_at = monotonic()
         await self._committer.append(batch.records)
-        self._figures.observe("append", monotonic() - sent_at)
-        self._figures.count("records", by=len(batch.records))
+        self._metrics.observe("append", monotonic() - sent_at)
+        self._metrics.count("records", by=len(batch.records))
         self._scheduler.now()
         self._scheduler.durable(batch)
 
--- a/src/sablemount/control/configuration_feed.py
+++ b/src/sablemount/control/configuration_feed.py
@@ -72,13 +72,13 @@
         self,
         codec: DirectoryCodec,
         link: LeaderLink,
-        figures: Figures,
+        metrics: Figures,
         spawn: Callable[[Coroutine[object, object, None]], "asyncio.Task[None]"],
         mbits: float = 0.0,
     ) -> None:
         self._codec = codec
         self._link = link
-        self._figures = figures
+        self._metrics = metrics
         self._spawn = spawn
         self._listeners: list[Callable[[Configuration], None]] = []
         self._changed = asyncio.Event()
@@ -99,7 +99,7 @@
         """Gates of earlier versions, the newest last."""
         self.announced_version = -1
         """The newest version that a leader has announced."""
-        self.source = ConfigurationSource(mbits, figures, lambda: self.gate.configuration)
+        self.source = ConfigurationSource(mbits, metrics, lambda: self.gate.configuration)
         self.confirmed_at = -1e9
         """Local time at which the version in force was last known to be the newest."""
 
@@ -146,7 +146,7 @@
         self._link.configuration = configuration.version
         self._behind_since = None
         self._reset_timeout()
-        self._figures.count("configuration", source)
+        self._metrics.count("configuration", source)
         _logger.info(
             "configuration adopted",
             extra={
@@ -305,7 +305,7 @@
         self._part_timeout = MIN_PART_TIMEOUT_S
 
     def _handle_failure(self, failed: CallFailed, source: str) -> None:
-        self._figures.count("configuration_part", "failed")
+        self._metrics.count("configuration_part", "failed")
         if failed.sent and not failed.closed:
             self._part_timeout = min(MAX_PART_TIMEOUT_S, 2 * self._part_timeout)
         if not self._stalled:
@@ -323,7 +323,7 @@
         """Store a part; return whether to request the next one."""
         if reply.of <= self.version or not reply.part:
             return False
-        self._figures.count("configuration_bytes", "got", len(reply.part))
+        self._metrics.count("configuration_bytes", "got", len(reply.part))
         transfer = self._transfer
         if transfer is None or not transfer.add(reply):
             if reply.offset:
@@ -342,7 +342,7 @@
         if previous is not None:
             self._abandon(previous, "another one is in force there")
         transfer = self._transfer = IncomingTransfer(reply, asked_at)
-        self._figures.count("configuration_transfer", "begun")
+        self._metrics.count("configuration_transfer", "begun")
         _logger.info("configuration transfer started", extra={"source": source, **self._progress()})
         return transfer
 
@@ -354,8 +354,8 @@
             return
         self._transfer = None
         seconds = monotonic() - transfer.begun_at
-        self._figures.count("configuration_transfer", "ended")
-        self._figures.observe("configuration_transfer", seconds)
+        self._metrics.count("configuration_transfer", "ended")
+        self._metrics.observe("configuration_transfer", seconds)
         _logger.info(
             "configuration transfer complete",
             extra={
@@ -372,5 +372,5 @@
         seconds = round(monotonic() - transfer.begun_at, 3)
         extra = {"why": why, "seconds": seconds, **self._progress()}
         self._transfer = None
-        self._figures.count("configuration_transfer", "given up")
+        self._metrics.count("configuration_transfer", "given up")
         _logger.info("configuration transfer abandoned", extra=extra)
--- a/src/sablemount/control/configuration_source.py
+++ b/src/sablemount/control/configuration_source.py
@@ -38,9 +38,9 @@
 class ConfigurationSource:
     """Answers requests for the configuration that ``current`` returns; ``link`` is in Mbit/s."""
 
-    def __init__(self, link: float, figures: Figures, current: Callable[[], Configuration]) -> None:
+    def __init__(self, link: float, metrics: Figures, current: Callable[[], Configuration]) -> None:
         self._rate = (link or UNLIMITED_MBITS) * BYTES_OF_MBIT
-        self._figures = figures
+        self._metrics = metrics
         self._current = current
         self._slots = TransferSlots()
         self._packed: PackedConfiguration | None = None
@@ -56,13 +56,13 @@
         if not call.parts:
             return self._complete_reply(packed)
         if not self._slots.acquire(peer, self._slot_count(packed), monotonic()):
-            self._figures.count("configuration_part", "later")
+            self._metrics.count("configuration_part", "later")
             return ConfigurationReply(later=LATER)
         reply = packed.part(call)
         if reply.offset + len(reply.part) >= reply.size:
             self._slots.release_soon(peer, monotonic())
-        self._figures.count("configuration_part", "served")
-        self._figures.count("configuration_bytes", "sent", len(reply.part))
+        self._metrics.count("configuration_part", "served")
+        self._metrics.count("configuration_bytes", "sent", len(reply.part))
         return reply
 
     def _slot_count(self, packed: PackedConfiguration) -> int:
@@ -74,11 +74,11 @@
         now = monotonic()
         if packed.raw_size > PART_BYTES:
             if now < self._next_complete_at:
-                self._figures.count("configuration_part", "later")
+                self._metrics.count("configuration_part", "later")
                 return ConfigurationReply()
             self._next_complete_at = now + packed.raw_size / (COMPLETE_SHARE * self._rate)
-        self._figures.count("configuration_part", "whole")
-        self._figures.count("configuration_bytes", "sent", packed.raw_size)
+        self._metrics.count("configuration_part", "whole")
+        self._metrics.count("configuration_bytes", "sent", packed.raw_size)
         return ConfigurationReply(self._current())
 
     async def _pack(self) -> PackedConfiguration:
--- a/src/sablemount/control/counted_store.py
+++ b/src/sablemount/control/counted_store.py
@@ -1,4 +1,4 @@
-"""A store whose calls are counted: by topic and by what became of them."""
+"""A store wrapper that counts calls by topic and outcome."""
 
 from sablemount.control.clock import monotonic
 from sablemount.control.figures import Figures
@@ -20,15 +20,15 @@
 
 
 class CountedStore:
-    """Passes calls on to a store, and enters each into the figures.
+    """Forwards calls to a store and counts them.
 
-    Calls without an answer are counted by their reason. Reads wait for records, so that only
-    the lists and the appends have their times entered.
+    Calls without an answer are counted by their reason. Only the duration of lists is observed:
+    reads wait for records, and ``CommitLoop`` observes the leader's appends.
     """
 
-    def __init__(self, store: Store, figures: Figures) -> None:
+    def __init__(self, store: Store, metrics: Figures) -> None:
         self._store = store
-        self._figures = figures
+        self._metrics = metrics
 
     async def append(
         self,
@@ -38,7 +38,7 @@
         producer: Producer | None = None,
         at: int | None = None,
     ) -> AppendResult:
-        """Append records, all or none; with ``at``, only if the topic ends there."""
+        """Append all records or none; with ``at``, only if the topic ends at that offset."""
         result = await self._store.append(topic, records, timeout, producer, at)
         self._count("append", topic, result)
         return result
@@ -46,17 +46,17 @@
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
-        """Return the newest records of the keys that follow ``after``."""
+        """Return the newest record of each key that follows ``after``."""
         began = monotonic()
         result = await self._store.newest(topic, after, timeout, progress)
-        self._figures.observe(f"store_page_{topic.value}", monotonic() - began)
+        self._metrics.observe(f"store_page_{topic.value}", monotonic() - began)
         self._count("page", topic, result)
         return result
 
     async def read(
         self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
     ) -> ReadResult:
-        """Return what follows an offset, waiting up to some seconds for a record."""
+        """Return the records that follow an offset, waiting up to ``wait`` seconds for one."""
         result = await self._store.read(topic, offset, wait, progress)
         self._count("read", topic, result)
         return result
@@ -64,6 +64,6 @@
     def _count(self, call: str, topic: Topic, result: object) -> None:
         outcome = ANSWERED
         if isinstance(result, Unavailable):
-            # What follows the colon differs from answer to answer.
+            # The text after the colon is specific to one answer; as a label it would be unbounded.
             outcome = result.reason.partition(":")[0]
-        self._figures.count(f"store_{call}_{topic.value}", outcome)
+        self._metrics.count(f"store_{call}_{topic.value}", outcome)
--- a/src/sablemount/control/figures.py
+++ b/src/sablemount/control/figures.py
@@ -1,22 +1,22 @@
-"""Counters and latency histograms of a process, published as text when they are asked for.
+"""Counters and latency histograms of a process, rendered as text on request.
 
-They are plain numbers while the process works; the library that writes them out is loaded with the
-first look, since it takes memory that most processes never need.
+They are kept as plain numbers. The metrics library is imported only when they are first rendered,
+since it takes memory that most processes never need.
 """
 
 from bisect import bisect_left
 from collections import Counter
 from collections.abc import Sequence
 
-__all__ = ["BUCKETS", "Figures"]
+__all__ = ["BUCKET_BOUNDS_S", "Figures"]
 
-BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
-"""Upper bounds of the histograms, in seconds."""
-INFINITE = "+Inf"
+BUCKET_BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
+"""Upper bounds of the histogram buckets, in seconds."""
+INFINITY_LABEL = "+Inf"
 
 
 class Figures:
-    """Counts by name and label, and observes seconds by name."""
+    """Counters by name and label, and histograms of durations by name."""
 
     def __init__(self) -> None:
         self.counters: Counter[tuple[str, str]] = Counter()
@@ -24,22 +24,22 @@
         self._sums: dict[str, float] = {}
 
     def count(self, name: str, label: str = "", by: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         self.counters[(name, label)] += by
 
     def observe(self, name: str, seconds: float) -> None:
-        """Enter a duration into a histogram."""
-        buckets = self._buckets.setdefault(name, [0] * (len(BUCKETS) + 1))
-        buckets[bisect_left(BUCKETS, seconds)] += 1
+        """Add a duration to a histogram."""
+        buckets = self._buckets.setdefault(name, [0] * (len(BUCKET_BOUNDS_S) + 1))
+        buckets[bisect_left(BUCKET_BOUNDS_S, seconds)] += 1
         self._sums[name] = self._sums.get(name, 0.0) + seconds
 
     def cumulative(self, name: str) -> list[int]:
-        """Return a histogram's counts up to each bound, and in all."""
-        counts = self._buckets.get(name, [0] * (len(BUCKETS) + 1))
-        return [sum(counts[: number + 1]) for number in range(len(counts))]
+        """Return a histogram's cumulative counts up to each bound, and the total."""
+        counts = self._buckets.get(name, [0] * (len(BUCKET_BOUNDS_S) + 1))
+        return [sum(counts[: index + 1]) for index in range(len(counts))]
 
     def render(self, gauges: dict[str, float], accepts: Sequence[str]) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics, with ``gauges``, as text in a format that ``accepts`` lists."""
         import aioprometheus
 
         registry = aioprometheus.Registry()
@@ -55,12 +55,12 @@
             "sablemount_seconds_sum", "Durations in all", registry=registry
         )
         for name in self._buckets:
-            bounds = [str(bound) for bound in BUCKETS] + [INFINITE]
+            bounds = [str(bound) for bound in BUCKET_BOUNDS_S] + [INFINITY_LABEL]
             for bound, count in zip(bounds, self.cumulative(name), strict=True):
                 buckets.set({"figure": name, "le": bound}, count)
             sums.set({"figure": name}, self._sums[name])
         state = aioprometheus.Gauge("sablemount_state", "State of the process", registry=registry)
-        for gauge, figure in gauges.items():
-            state.set({"value": gauge}, figure)
+        for gauge, reading in gauges.items():
+            state.set({"value": gauge}, reading)
         text, _ = aioprometheus.render(registry, list(accepts))
         return bytes(text)
--- a/src/sablemount/control/follow.py
+++ b/src/sablemount/control/follow.py
@@ -1,8 +1,9 @@
-"""Follows a keyed topic: its newest records first, then what follows, with a fresh start at times.
+"""Follows a keyed topic: lists its newest records, then reads new ones, and lists again at times.
 
-Records may go from the log at any time, so the newest of all keys are read again now and then, but
-not with each change: a list of all VMs for each heartbeat of one would cost with their square. Nor
-are they read again where nothing was missed: a record may be long beside the link it comes over.
+The log may drop records at any time, so the newest records of all keys are listed again
+periodically, but not on each change: listing all VMs for each heartbeat of one would have quadratic
+cost. Nor are they listed again if nothing was missed, as a record may be large relative to the
+link.
 """
 
 import asyncio
@@ -17,145 +18,147 @@
 
 __all__ = ["Follower"]
 
-PAGE_INTERVAL = 0.35
-"""Seconds without a part of a page after which it is asked whether the store is there."""
-PAGE_LIMIT = LONGEST_PAGE
-"""Seconds without a part of a page after which a list is given up and begun anew: all members read
-the same at once, and a store that is busy with that reads also what nobody awaits any more."""
-UNPROBED = 1
-"""Tries of a page for which it is not asked whether the store is there, for the same reason."""
-GATHER_PAUSE = 0.1
-"""Seconds between two reads, so that changes that come one by one are read together."""
-RETRY_PAUSE = 0.15
-"""Seconds after a failure until the next try; half as long again after each further one."""
-MAX_PAUSE = 0.5
-"""Seconds between two tries at most, so that the end of an outage is seen soon."""
-LIST_SHARE = 4.0
-"""How many times as long as a list took to arrive the next one is at least away: a link has other
-uses."""
-BUSY_READS = 4
-"""Reads with records since the last fresh start from which on a topic goes on growing while it is
-asked where it ends."""
+PROBE_INTERVAL_S = 0.35
+"""Time without progress on a page after which a probe checks whether the store responds."""
+PAGE_TIMEOUT_S = LONGEST_PAGE
+"""Time without progress on a page after which a list is abandoned and restarted. It is long since
+all members read the same list at once, and a busy store also processes abandoned requests."""
+UNPROBED_ATTEMPTS = 1
+"""Attempts of a page that are made without a probe of the store; low for the same reason."""
+BATCH_PAUSE_S = 0.1
+"""Pause between two reads, so that single changes are read together."""
+RETRY_PAUSE_S = 0.15
+"""Pause after a failure; it grows by half with each further one."""
+MAX_RETRY_PAUSE_S = 0.5
+"""Longest pause between two attempts, so that the end of an outage is noticed soon."""
+MIN_LIST_INTERVAL_FACTOR = 4.0
+"""Shortest interval between lists, as a multiple of the time that the latest one took to arrive,
+since the link has other uses."""
+MIN_BUSY_READS = 4
+"""Number of reads with records since the last list from which a topic counts as busy: it would grow
+while its end offset is queried."""
 
 _logger = logging.getLogger("sablemount.control.follow")
 
 
-def _ignore(asked_at: float) -> None:
-    """Take that a read was answered, and do nothing."""
+def _ignore_answer(asked_at: float) -> None:
+    """Ignore that a read was answered."""
 
 
 class Follower:
     """Keeps a reader up to date with one topic.
 
-    ``on_all`` takes the newest records and ``on_records`` what follows, each with the offset at
-    which they end. Every ``fresh_start`` seconds all is read anew, unless nothing was missed.
-    ``on_answer`` takes the local time at which a read was sent that has been answered; none waits
-    for longer than ``longest_wait`` seconds.
+    ``on_list`` receives the newest record of each key, and ``on_records`` the records that follow,
+    each with their end offset. Every ``list_interval`` seconds all keys are listed again, unless
+    nothing was missed. ``on_answer`` receives the local time at which an answered read was sent. A
+    read waits for at most ``max_wait`` seconds.
     """
 
     def __init__(
         self,
         store: Store,
         topic: Topic,
-        on_all: Callable[[Sequence[PageItem], int], None],
+        on_list: Callable[[Sequence[PageItem], int], None],
         on_records: Callable[[Sequence[Record], int], None],
-        fresh_start: float,
-        on_answer: Callable[[float], None] = _ignore,
-        longest_wait: float = float("inf"),
+        list_interval: float,
+        on_answer: Callable[[float], None] = _ignore_answer,
+        max_wait: float = float("inf"),
     ) -> None:
         self._store = store
         self._topic = topic
-        self._on_all = on_all
+        self._on_list = on_list
         self._on_records = on_records
-        self._fresh_start = fresh_start
+        self._list_interval = list_interval
         self._on_answer = on_answer
-        self._longest_wait = longest_wait
+        self._max_wait = max_wait
         self._reachable: bool | None = None
-        self._end: int | None = None
-        """Where to read on; ``None`` before all was read."""
+        self._next_offset: int | None = None
+        """Offset of the next read; ``None`` if the topic has to be listed first."""
         self._changes = 0
-        """Reads with records since the last fresh start."""
+        """Number of reads with records since the last list."""
         self._reading: asyncio.Future[ReadResult] | None = None
-        self._arriving = Progress()
-        """What has come of the answer to the read that is under way."""
-
-    def pace(self, fresh_start: float, longest_wait: float) -> None:
-        """Ask at other intervals from now on, and at once unless an answer is arriving."""
-        self._fresh_start = fresh_start
-        self._longest_wait = longest_wait
-        if self._reading is not None and not self._arriving.within(PAGE_INTERVAL):
+        self._progress = Progress()
+        """Progress of the answer to the read in flight."""
+
+    def pace(self, list_interval: float, max_wait: float) -> None:
+        """Change the intervals, and restart the read in flight unless its answer is arriving."""
+        self._list_interval = list_interval
+        self._max_wait = max_wait
+        if self._reading is not None and not self._progress.within(PROBE_INTERVAL_S):
             self._reading.cancel()
 
     async def run(self) -> None:
-        """Follow without end."""
-        pause = RETRY_PAUSE
+        """Follow the topic until cancelled."""
+        pause = RETRY_PAUSE_S
         while True:
-            if await self._round():
-                pause = RETRY_PAUSE
+            if await self._cycle():
+                pause = RETRY_PAUSE_S
                 continue
             await asyncio.sleep(pause)
-            pause = min(MAX_PAUSE, pause * 1.5)
+            pause = min(MAX_RETRY_PAUSE_S, pause * 1.5)
 
-    async def _round(self) -> bool:
-        """Read all, or make sure that nothing was missed, and what follows for a while."""
+    async def _cycle(self) -> bool:
+        """List all keys unless nothing was missed, then read new records for a while."""
         asked_at = monotonic()
         progress = Progress()
         failed = None if await self._missed_nothing() else await self._list(progress)
         if failed is not None:
-            self._failed(failed, asked_at)
+            self._log_unavailable(failed, asked_at)
             return False
-        self._answers()
+        self._log_available()
         self._on_answer(asked_at)
-        return await self._read_on(max(self._fresh_start, LIST_SHARE * progress.seconds))
+        return await self._read_on(
+            max(self._list_interval, MIN_LIST_INTERVAL_FACTOR * progress.seconds)
+        )
 
     async def _missed_nothing(self) -> bool:
-        """Tell whether the topic ends where reading it has led; not asked while it is busy."""
-        if self._end is None or self._changes >= BUSY_READS:
+        """Return whether the topic ends at the offset read so far; not checked if it is busy."""
+        if self._next_offset is None or self._changes >= MIN_BUSY_READS:
             return False
-        end = await topic_end(self._store, self._topic, PAGE_INTERVAL, PAGE_LIMIT)
-        return end == self._end
+        end = await topic_end(self._store, self._topic, PROBE_INTERVAL_S, PAGE_TIMEOUT_S)
+        return end == self._next_offset
 
     async def _list(self, progress: Progress) -> Unavailable | None:
-        """Read all; return why that failed, if it did."""
+        """List all keys; return the failure, if any."""
         newest = await read_newest(
-            self._store, self._topic, PAGE_INTERVAL, PAGE_LIMIT, progress, UNPROBED
+            self._store, self._topic, PROBE_INTERVAL_S, PAGE_TIMEOUT_S, progress, UNPROBED_ATTEMPTS
         )
         if isinstance(newest, Unavailable):
             return newest
-        items, self._end = newest
-        self._on_all(items, self._end)
+        items, self._next_offset = newest
+        self._on_list(items, self._next_offset)
         return None
 
     async def _read_on(self, seconds: float) -> bool:
-        """Read what follows for some seconds; return whether the store answered."""
-        last = monotonic() + seconds
+        """Read new records for some seconds; return whether the store answered."""
+        deadline = monotonic() + seconds
         self._changes = 0
-        while (left := last - monotonic()) > 0:
+        while (remaining := deadline - monotonic()) > 0:
             asked_at = monotonic()
-            result = await self._read(min(left, self._longest_wait))
+            result = await self._read(min(remaining, self._max_wait))
             if result is None:
                 return True
             if isinstance(result, Unavailable):
-                self._failed(result, asked_at)
+                self._log_unavailable(result, asked_at)
                 return False
-            self._answers()
+            self._log_available()
             if not isinstance(result, Records):
-                self._end = None
+                self._next_offset = None
                 return True
             if result.records:
-                self._end = result.end
+                self._next_offset = result.end
                 self._changes += 1
                 self._on_records(result.records, result.end)
             self._on_answer(asked_at)
             if result.records:
-                await asyncio.sleep(GATHER_PAUSE)
+                await asyncio.sleep(BATCH_PAUSE_S)
         return True
 
     async def _read(self, wait: float) -> ReadResult | None:
-        """Read what follows; ``None`` if the pace has changed meanwhile."""
-        assert self._end is not None
-        self._arriving = Progress()
-        read = self._store.read(self._topic, self._end, wait, self._arriving)
+        """Read new records; return ``None`` if ``set_intervals`` has cancelled the read."""
+        assert self._next_offset is not None
+        self._progress = Progress()
+        read = self._store.read(self._topic, self._next_offset, wait, self._progress)
         reading = asyncio.ensure_future(read)
         self._reading = reading
         try:
@@ -165,12 +168,12 @@
             reading.cancel()
         return None if reading.cancelled() else reading.result()
 
-    def _answers(self) -> None:
+    def _log_available(self) -> None:
         if self._reachable is not True:
             self._reachable = True
             _logger.info("store answers", extra={"topic": self._topic.value})
 
-    def _failed(self, failed: Unavailable, asked_at: float) -> None:
+    def _log_unavailable(self, failed: Unavailable, asked_at: float) -> None:
         if self._reachable is False:
             return
         self._reachable = False
--- a/src/sablemount/control/gate.py
+++ b/src/sablemount/control/gate.py
@@ -1,6 +1,7 @@
-"""Which callers are let in: by host and path to a queue, by key to an organisation.
+"""Admission of callers: host and path select a queue, an API key identifies an organisation.
 
-Pure. A key is only ever handled as its digest, so that no table, message or log line can hold one.
+Does no I/O. A key is handled only as its digest, so that no table, message or log line can contain
+one.
 """
 
 import hashlib
@@ -14,26 +15,26 @@
 
 
 def key_digest(key: bytes) -> bytes:
-    """Return what stands for a key: looking it up tells nothing of the keys that are known."""
+    """Return the digest of a key; the timing of its look-up reveals nothing about known keys."""
     return hashlib.sha256(key).digest()
 
 
 class Gate:
-    """Admits callers by one version of the configuration."""
+    """Admits callers according to one version of the configuration."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
         self._queues = QueueTable(configuration.queues)
-        self._names = _names(configuration)
+        self._names_by_digest = _names_by_digest(configuration)
 
     def queue(self, call: CallerCall) -> Queue | None:
-        """Return the queue that a call is for."""
+        """Return the queue that a call addresses, if any."""
         return self._queues.find(call.host, call.path)
 
     def admit(self, call: CallerCall, digest: bytes | None) -> CallerCall | CallerReply:
-        """Return a call as the leader takes it, or its refusal.
+        """Return the call as the leader expects it, with organisation and version, or a refusal.
 
-        ``digest`` is that of the caller's key, ``None`` if it has shown none that is well formed.
+        ``digest`` is that of the caller's key, ``None`` if it has sent no well-formed one.
         """
         configuration = self.configuration
         if configuration.version < 0:
@@ -41,34 +42,35 @@
         queue = self.queue(call)
         if queue is None:
             return CallerReply(Outcome.NO_QUEUE, reason="no queue at this host and prefix")
-        organisation = "" if digest is None else self._names.get(digest, "")
+        organisation = "" if digest is None else self._names_by_digest.get(digest, "")
         if configuration.keyed and not organisation and not queue.public:
             return CallerReply(Outcome.NO_KEY, reason="no key of an organisation")
         return msgspec.structs.replace(
             call, organisation=organisation, version=configuration.version
         )
 
-    def admits_alike(self, former: "Gate", call: CallerCall) -> bool:
-        """Tell whether what another version has admitted is admitted just so by this one.
+    def admits_alike(self, other: "Gate", call: CallerCall) -> bool:
+        """Return whether this version admits a call exactly as ``other`` has admitted it.
 
-        So it is if its queue is the same in both, and no key has come, gone or changed hands.
+        It does if the queue of the call is the same in both versions, and no key has been added,
+        removed or assigned to another organisation.
         """
-        here, there = self.configuration, former.configuration
-        if here.keyed != there.keyed or self._names != former._names:
+        current, earlier = self.configuration, other.configuration
+        if current.keyed != earlier.keyed or self._names_by_digest != other._names_by_digest:
             return False
         queue = self.queue(call)
-        return queue is not None and queue == former.queue(call)
+        return queue is not None and queue == other.queue(call)
 
 
-def _names(configuration: Configuration) -> dict[bytes, str]:
-    """Return the organisations by the digests of their keys.
+def _names_by_digest(configuration: Configuration) -> dict[bytes, str]:
+    """Return the names of the organisations by the digests of their keys.
 
-    A key of two organisations tells neither, so that it opens nothing.
+    A key that two organisations share identifies neither, so it admits nobody.
     """
     names: dict[bytes, str] = {}
-    doubled: set[bytes] = set()
+    shared: set[bytes] = set()
     for organisation in configuration.organisations:
         for digest in organisation.key_digests:
             if names.setdefault(digest, organisation.name) != organisation.name:
-                doubled.add(digest)
-    return {digest: name for digest, name in names.items() if digest not in doubled}
+                shared.add(digest)
+    return {digest: name for digest, name in names.items() if digest not in shared}
--- a/src/sablemount/control/hedge.py
+++ b/src/sablemount/control/hedge.py
@@ -1,4 +1,7 @@
-"""Calls that are made again while the first has no answer, so that an outage's end is seen soon."""
+"""Hedged calls: further attempts are made while the first is unanswered.
+
+The end of an outage is thus noticed soon.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,32 +19,33 @@
     interval: float,
     limit: float,
     progress: Progress | None = None,
-    longest: float = float("inf"),
+    max_seconds: float = float("inf"),
 ) -> T | None:
-    """Return the first answer, or ``None`` if all attempts failed or the limit is over.
+    """Return the first answer, or ``None`` if all attempts failed or the time limit has passed.
 
-    A further attempt is begun every ``interval`` seconds up to ``limit``; ``None`` is an attempt's
-    failure, and once all have failed none is begun any more: what is refused at once would be
-    again. Nor is one begun sooner because another has failed beside one that is under way.
+    A further attempt is started every ``interval`` seconds for up to ``limit`` seconds. An attempt
+    returns ``None`` if it fails. Once all attempts have failed, no other is started, since a call
+    that is refused at once would be refused again. Nor does a failed attempt cause another one to
+    start early while one is in flight.
 
-    ``progress`` tells what has arrived of the attempts' answers. While something arrives no other
-    attempt is begun, since copies of a long answer would share the link with it, and the limit
-    counts from then, up to ``longest`` seconds in all.
+    ``progress`` shows what has arrived of the attempts' answers. While data arrive, no other
+    attempt is started, since a second copy of a long answer would share the link with the first.
+    The limit then counts from the latest arrival, up to ``max_seconds`` seconds in total.
     """
     loop = asyncio.get_running_loop()
     progress = progress or Progress()
-    began = next_at = loop.time()
+    started_at = next_at = loop.time()
     pending: set[asyncio.Future[Any]] = set()
     try:
-        while loop.time() < min(max(began, progress.at) + limit, began + longest):
+        while loop.time() < min(max(started_at, progress.at) + limit, started_at + max_seconds):
             next_at = max(next_at, progress.at + interval)
             if not pending or loop.time() >= next_at:
                 pending.add(asyncio.ensure_future(attempt()))
                 next_at = loop.time() + interval
-            ended, pending = await asyncio.wait(
+            completed, pending = await asyncio.wait(
                 pending, timeout=next_at - loop.time(), return_when=asyncio.FIRST_COMPLETED
             )
-            answers = [call.result() for call in ended if call.result() is not None]
+            answers = [call.result() for call in completed if call.result() is not None]
             if answers:
                 return answers[0]  # type: ignore[no-any-return]
             if not pending:
--- a/src/sablemount/control/pages.py
+++ b/src/sablemount/control/pages.py
@@ -1,10 +1,10 @@
-"""Reads the newest records of a topic, page by page, over links and of stores that may be narrow.
+"""Reads the newest records of a topic page by page, over slow links and from slow stores.
 
-A page may be long beside the link it comes over and beside what the store reads in a second, so
-that copies of the question would keep one another from being answered. While something of a page
-comes it is not asked for again. While nothing comes it is asked for once more, since its
-connection may have fallen silent; after that a short question tells whether the store is there, and
-is repeated quickly; the long one is, only if the store is, and ever more seldom.
+A page may be large relative to the link's rate or the store's read rate, so that duplicate requests
+would delay one another. While data of a page arrive, it is not requested again. While none arrive,
+it is requested once more, since its connection may be dead. After that a short probe, which is
+repeated quickly, checks whether the store responds; the page is requested again only if it does,
+and at growing intervals.
 """
 
 import asyncio
@@ -18,19 +18,19 @@
 __all__ = ["LAST_KEY", "Newest", "read_newest", "topic_end"]
 
 LAST_KEY = "\U0010ffff"
-"""What no key follows."""
-PROBE_TIMEOUT = 1.5
-"""Seconds that a short question may take."""
+"""A key that is greater than all others."""
+PROBE_TIMEOUT_S = 1.5
+"""Time-out of a probe."""
 LONGEST_PAGE = 30.0
-"""Seconds that one page may take in all."""
-UNPROBED = 2
-"""Tries of a page for which it is not asked whether the store is there."""
-GAP_GROWTH = 2.0
-"""How much longer the gap before each further try of a page is."""
+"""Maximum time for one page in total."""
+UNPROBED_ATTEMPTS = 2
+"""Default number of attempts of a page that are made without a probe of the store."""
+INTERVAL_GROWTH = 2.0
+"""Growth factor of the interval between attempts of a page."""
 NO_PAGE = "no page in time"
 
 Newest = tuple[list[PageItem], int]
-"""The newest record of each key, and the offset from where to read on."""
+"""The newest record of each key, and the offset from which to continue reading."""
 
 
 async def read_newest(
@@ -39,15 +39,16 @@
     interval: float,
     limit: float,
     progress: Progress | None = None,
-    unprobed: int = UNPROBED,
+    unprobed: int = UNPROBED_ATTEMPTS,
 ) -> Newest | Unavailable:
-    """Return the newest record of each key, and from where to read on.
-
-    ``interval`` is after how many seconds without a part of a page it is asked whether the store
-    is there, and ``limit`` after how many the page is given up. What was read of the others is
-    kept until then. They are no snapshot: what changed after the first one follows its end.
-    ``progress`` takes what arrives. ``unprobed`` is how many tries of a page may be made without
-    asking that: one where many read the same at once, for a store that is busy with all of them.
+    """Return the newest record of each key, and the offset from which to continue reading.
+
+    After ``interval`` seconds without progress on a page, a probe checks whether the store
+    responds; after ``limit`` seconds the page is abandoned, and with it those read before. The
+    pages are not a snapshot: changes made after the first page was read follow the returned offset.
+    ``progress`` records the arriving data. ``unprobed`` is the number of attempts of a page that
+    are made without a probe: one if many processes read the same list at once, which keeps the
+    store busy.
     """
     progress = progress or Progress()
     items: list[PageItem] = []
@@ -66,17 +67,17 @@
 
 
 async def topic_end(store: Store, topic: Topic, interval: float, limit: float) -> int | None:
-    """Return where a topic ends, or ``None`` without an answer; none of its records is read."""
+    """Return the end offset of a topic, or ``None`` without an answer; reads no records."""
 
     async def ask() -> int | None:
-        page = await store.newest(topic, LAST_KEY, PROBE_TIMEOUT)
+        page = await store.newest(topic, LAST_KEY, PROBE_TIMEOUT_S)
         return None if isinstance(page, Unavailable) else page.end
 
     return await hedged(ask, interval, limit)
 
 
 class _PageReader:
-    """Reads one page."""
+    """Reads one page, with retries."""
 
     def __init__(
         self,
@@ -95,80 +96,80 @@
         self._limit = limit
         self._progress = progress
         self._unprobed = unprobed
-        self._began_at = self._tried_at = monotonic()
-        self._gap = interval
-        """Seconds from a try, or the last part, to the next try."""
-        self._there = False
-        """Whether the store has answered a short question."""
-        self._sent = 0
-        self._tries: set[asyncio.Future[Page | Unavailable]] = set()
-        self._failed = Unavailable(NO_PAGE)
+        self._started_at = self._requested_at = monotonic()
+        self._retry_interval = interval
+        """Seconds from an attempt, or from the latest arrival of data, to the next attempt."""
+        self._responds = False
+        """Whether the store has answered the latest probe."""
+        self._attempt_count = 0
+        self._attempts: set[asyncio.Future[Page | Unavailable]] = set()
+        self._failure = Unavailable(NO_PAGE)
 
     async def read(self) -> Page | Unavailable:
-        """Return the page, or what became of the last try."""
+        """Return the page, or the failure of the latest attempt."""
         try:
-            self._try()
+            self._request_page()
             while self._time_left() > 0:
-                page = await self._wait(self._tries, self._next_at() - monotonic())
-                if page is not None or not self._tries:
-                    return page or self._failed
-                if monotonic() < self._next_at():
+                page = await self._wait(self._attempts, self._next_attempt_at() - monotonic())
+                if page is not None or not self._attempts:
+                    return page or self._failure
+                if monotonic() < self._next_attempt_at():
                     continue
-                page = await self._again()
-                if page is not None or not self._tries:
-                    return page or self._failed
-            return self._failed
+                page = await self._retry()
+                if page is not None or not self._attempts:
+                    return page or self._failure
+            return self._failure
         finally:
-            for attempt in self._tries:
+            for attempt in self._attempts:
                 attempt.cancel()
 
     def _time_left(self) -> float:
         now = monotonic()
-        heard_at = max(self._began_at, self._progress.at)
-        return min(heard_at + self._limit, self._began_at + LONGEST_PAGE) - now
+        progress_at = max(self._started_at, self._progress.at)
+        return min(progress_at + self._limit, self._started_at + LONGEST_PAGE) - now
 
-    def _next_at(self) -> float:
-        """Return when the page may be asked for again."""
-        return max(self._tried_at, self._progress.at) + self._gap
+    def _next_attempt_at(self) -> float:
+        """Return when the page may be requested again."""
+        return max(self._requested_at, self._progress.at) + self._retry_interval
 
-    async def _again(self) -> Page | None:
-        """Ask for the page once more, if the store is there; return it if it comes meanwhile."""
-        if self._sent < self._unprobed:
-            self._try()
+    async def _retry(self) -> Page | None:
+        """Request the page again if the store responds; return it if it arrives meanwhile."""
+        if self._attempt_count < self._unprobed:
+            self._request_page()
             return None
         page = await self._probe()
-        if page is None and self._there and monotonic() >= self._next_at():
-            self._gap *= GAP_GROWTH
-            self._try()
+        if page is None and self._responds and monotonic() >= self._next_attempt_at():
+            self._retry_interval *= INTERVAL_GROWTH
+            self._request_page()
         return page
 
-    def _try(self) -> None:
-        self._tried_at = monotonic()
+    def _request_page(self) -> None:
+        self._requested_at = monotonic()
         page = self._store.newest(self._topic, self._after, self._limit, self._progress)
-        self._tries.add(asyncio.ensure_future(page))
-        self._sent += 1
+        self._attempts.add(asyncio.ensure_future(page))
+        self._attempt_count += 1
 
     async def _probe(self) -> Page | None:
-        """Ask whether the store is there; return the page if it comes first."""
+        """Check whether the store responds; return the page if it arrives first."""
         end = topic_end(self._store, self._topic, self._interval, self._time_left())
         probe = asyncio.ensure_future(end)
         try:
-            page = await self._wait({*self._tries, probe}, None)
-            self._there = probe.done() and probe.result() is not None
-            if page is None and not self._there and self._tries:
-                page = await self._wait(self._tries, self._interval)
+            page = await self._wait({*self._attempts, probe}, None)
+            self._responds = probe.done() and probe.result() is not None
+            if page is None and not self._responds and self._attempts:
+                page = await self._wait(self._attempts, self._interval)
             return page
         finally:
             probe.cancel()
 
     async def _wait(self, awaited: set[Any], seconds: float | None) -> Page | None:
-        """Wait until something ends; return the page if it is there."""
+        """Wait until one of ``awaited`` is done; return the page if it has arrived."""
         await asyncio.wait(awaited, timeout=seconds, return_when=asyncio.FIRST_COMPLETED)
-        ended = [attempt for attempt in self._tries if attempt.done()]
-        self._tries.difference_update(ended)
-        for attempt in ended:
+        completed = [attempt for attempt in self._attempts if attempt.done()]
+        self._attempts.difference_update(completed)
+        for attempt in completed:
             result = attempt.result()
             if isinstance(result, Page):
                 return result
-            self._failed = result
+            self._failure = result
         return None
--- a/src/sablemount/control/ports.py
+++ b/src/sablemount/control/ports.py
@@ -1,4 +1,4 @@
-"""What the leader needs of its surroundings, beside the store; adapters implement these."""
+"""Interfaces that the leader needs besides the store; adapters implement them."""
 
 import enum
 from collections.abc import Sequence
@@ -25,34 +25,35 @@
 
 
 class CallError(enum.Enum):
-    """Why a call to a VM gave nothing."""
+    """Why a call to a VM failed."""
 
     FENCED = "fenced"
     """The VM has seen a later leader."""
     OTHER_LIFE = "other life"
-    """At the address is another VM, or another life under an id of its own."""
+    """Another VM, or another incarnation with an id of its own, is at the address."""
     REFUSED = "refused"
-    """Nothing listens at the address."""
+    """No process listens at the address."""
     NOT_SENT = "not sent"
     NO_ANSWER = "no answer"
-    """The call may be carried out, now or later."""
+    """The call may have been carried out, or may still be."""
 
 
 class HoldCall(msgspec.Struct, frozen=True):
-    """Extends a VM's leases, acknowledges ends (0 for none) and asks what runs."""
+    """Extends a VM's leases, acknowledges completions and requests a report of its runs."""
 
     vm: str
     address: str
     fence: int
     until_ms: int
-    """End of the leases on the VM's clock; 0 to leave them as they are."""
+    """Expiry of the leases on the VM's clock, 0 to leave them unchanged."""
     acked_end: int
+    """Sequence number of the newest acknowledged completion, 0 for none."""
     wait: float
-    """Seconds that the answer may wait for an end."""
+    """Seconds that the answer may wait for a completion."""
 
 
 class Started(msgspec.Struct, frozen=True):
-    """A run is there; the VM's clock in ms."""
+    """A run has started; ``clock_ms`` is the VM's clock."""
 
     clock_ms: float
 
@@ -62,10 +63,10 @@
 
 
 class VmPort(Protocol):
-    """The VMs; timeouts are in seconds."""
+    """Calls to the VMs. Time-outs are in seconds."""
 
     async def hold(self, call: HoldCall, timeout: float) -> HoldResult:
-        """Hold and look."""
+        """Extend leases, acknowledge completions and return the VM's report."""
         ...
 
     async def start(
@@ -83,25 +84,25 @@
     async def pace(
         self, action: PaceRun, address: str, fence: int, timeout: float
     ) -> CallError | None:
-        """Let a run work at a share of its speed."""
+        """Throttle a run to a share of its speed."""
         ...
 
 
 class AdvicePort(Protocol):
-    """The service that knows which VMs may run a step."""
+    """The advice service, which knows which VMs may run a step."""
 
     async def advise(self, step: str, vms: Sequence[str], timeout: float) -> AdviceReply:
-        """Ask for some VMs."""
+        """Return which of ``vms`` may run a step."""
         ...
 
 
 class DirectoryCodec(Protocol):
-    """Decodes what others write to the store; what does not decode gives ``None``."""
+    """Decodes records that other systems write to the store; undecodable ones give ``None``."""
 
     def vm(self, record: Record) -> VmInfo | None:
         """Decode a VM's entry."""
         ...
 
     def configuration(self, record: Record) -> Configuration | None:
-        """Decode the configuration; other records of its topic give ``None``."""
+        """Decode the configuration; return ``None`` for other records of its topic."""
         ...
--- a/src/sablemount/control/store.py
+++ b/src/sablemount/control/store.py
@@ -1,6 +1,6 @@
-"""What the product needs of the platform's store: keyed topics with fenced appends.
+"""Interface of the platform's store: keyed topics with fenced appends.
 
-Each topic is one ordered log in which the newest record of each key is kept for good.
+Each topic is an ordered log that retains the newest record of each key indefinitely.
 """
 
 import enum
@@ -30,7 +30,7 @@
 
 
 class Topic(enum.Enum):
-    """The keyed topics: two of our own, and two that others write."""
+    """The keyed topics: two that this system writes, and two that other systems write."""
 
     JOBS = "jobs"
     LEADER = "leader"
@@ -39,7 +39,7 @@
 
 
 class Producer(msgspec.Struct, frozen=True):
-    """A writer: a lower ``epoch`` is fenced by a higher one, ``sequence`` counts its appends."""
+    """A writer: a higher ``epoch`` fences lower ones; ``sequence`` numbers the appends."""
 
     name: str
     epoch: int
@@ -47,33 +47,33 @@
 
 
 class Appended(msgspec.Struct, frozen=True):
-    """The append is done, now or by an earlier attempt; ``end`` is the offset after it."""
+    """The append is complete, by this or an earlier attempt; ``end`` is the offset after it."""
 
     end: int
 
 
 class Fenced(msgspec.Struct, frozen=True):
-    """Refused: a higher epoch has written."""
+    """Refused: a producer with a higher epoch has written."""
 
     epoch: int
 
 
 class WrongSequence(msgspec.Struct, frozen=True):
-    """Refused: another sequence number is wanted."""
+    """Refused: the store expects another sequence number."""
 
     wanted: int
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Refused: the topic does not end at the offset that was named."""
+    """Refused: the topic does not end at the offset that the append requires."""
 
     end: int
 
 
 class Unavailable(msgspec.Struct, frozen=True):
-    """No usable answer; if ``certain``, nothing was done.
+    """No usable answer; if ``certain``, the call had no effect.
 
-    ``received`` is how many bytes of an answer came.
+    ``received`` is the number of bytes of an answer that arrived.
     """
 
     reason: str
@@ -85,14 +85,14 @@
 
 
 class PageItem(msgspec.Struct, frozen=True):
-    """The newest record of a key, and its offset."""
+    """The newest record of a key and its offset."""
 
     record: Record
     offset: int
 
 
 class Page(msgspec.Struct, frozen=True):
-    """Newest records in the order of their keys; ``more`` tells that others follow."""
+    """Newest records in the order of their keys; ``more`` is true if other keys follow."""
 
     items: list[PageItem]
     more: bool
@@ -100,21 +100,21 @@
 
 
 class Records(msgspec.Struct, frozen=True):
-    """Records that follow an offset; ``end`` is the offset to go on from."""
+    """Records that follow an offset; ``end`` is the offset from which to continue."""
 
     records: list[Record]
     end: int
 
 
 class Trimmed(msgspec.Struct, frozen=True):
-    """The records at the offset are gone; the newest of each key has to be read."""
+    """The records at the offset have been dropped; the newest of each key have to be listed."""
 
 
 ReadResult: TypeAlias = Records | Trimmed | Unavailable
 
 
 class Store(Protocol):
-    """The store, as its adapter gives it. Timeouts are in seconds."""
+    """The store, as its adapter implements it. Time-outs are in seconds."""
 
     async def append(
         self,
@@ -124,23 +124,23 @@
         producer: Producer | None = None,
         at: int | None = None,
     ) -> AppendResult:
-        """Append records, all or none; with ``at``, only if the topic ends there."""
+        """Append all records or none; with ``at``, only if the topic ends at that offset."""
         ...
 
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
-        """Return the newest records of the keys that follow ``after``.
+        """Return the newest record of each key that follows ``after``.
 
-        ``progress`` takes what has arrived of the answer, and the time-out begins anew with it.
+        ``progress`` records the arriving data of the answer, each of which restarts the time-out.
         """
         ...
 
     async def read(
         self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
     ) -> ReadResult:
-        """Return what follows an offset, waiting up to some seconds for a record.
+        """Return the records that follow an offset, waiting up to ``wait`` seconds for one.
 
-        With ``progress`` an answer that has begun to arrive is awaited while more of it comes.
+        With ``progress``, an answer that has begun to arrive is awaited while more data arrive.
         """
         ...
