--- a/tests/jobs/test_acks.py
+++ b/tests/jobs/test_acks.py
@@ -198,9 +198,9 @@
 
         port = _Port(refuse)
         calls = _calls(rig, port, fenced)
-        await calls._look(row)
+        await calls._poll(row)
         assert fenced == []
-        await calls._look(row)
+        await calls._poll(row)
         assert fenced == ["w0"]
         assert port.holds[0].fence < port.holds[1].fence
 
@@ -218,8 +218,8 @@
         port = _Port(hear)
         calls = _calls(rig, port, [])
         row.heard_at = asyncio.get_running_loop().time()
-        await calls._look(row)
-        await calls._look(row)
+        await calls._poll(row)
+        await calls._poll(row)
         assert [(call.acked_end, call.wait > 0) for call in port.holds] == [(1, False), (0, True)]
 
     run(scenario())
--- a/tests/jobs/test_proofs.py
+++ b/tests/jobs/test_proofs.py
@@ -169,7 +169,7 @@
         row.clock_ms = now * 1000.0
         start = msgspec.structs.replace(start, not_after=now + 1.0)
         row.runs[(start.task, start.run)].settle_clock = row.clock_ms + 1_500.0
-        await calls._look(row)
+        await calls._poll(row)
         await calls._start(start)
         assert port.holds[0].until_ms == 0
         assert 0 < port.untils[0] - row.clock_ms <= PROOF_LEASE * 1000.0
@@ -186,7 +186,7 @@
         row = rig.scheduler.state.vms["w0"]
         row.heard_at = asyncio.get_running_loop().time()
         row.acked_end = acked
-        await calls._look(row)
+        await calls._poll(row)
         (call,) = port.holds
         assert (call.acked_end, call.until_ms > 0) == (acked, not acked)
 
