--- a/src/sablemount/control/commit.py
+++ b/src/sablemount/control/commit.py
@@ -67,8 +67,8 @@
 MAX_REFUSAL_PAUSE_S = 0.2
 """Longest pause between a refusal and the next attempt."""
 FIRST_SEQUENCE = 0
-BY_ANSWER = "its answer"
-BY_NUMBER = "the number that the store wants next"
+SETTLED_BY_ANSWER = "its answer"
+SETTLED_BY_NUMBER = "the number that the store wants next"
 SETTLED_BY_LATER_APPEND = "a later append that is done"
 
 _logger = logging.getLogger("sablemount.control.commit")
@@ -123,7 +123,7 @@
         """Return when the oldest unanswered append was first sent, or a negative time if none."""
         return min((entry.first_sent_at for entry in self._pending), default=-1e9)
 
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
         """Return whether requests to the store have gone unanswered for ``SILENT_AFTER_S``."""
         return self.unanswered_seconds() > SILENT_AFTER_S
 
@@ -245,7 +245,7 @@
                 if any(self._is_settled(answer, entry.sequence) for answer in answers):
                     self._loss_detector.record_done(answers, attempts.sent_at())
                     taken = any(isinstance(answer.result, Appended) for answer in answers)
-                    settled_by = BY_ANSWER if taken else BY_NUMBER
+                    settled_by = SETTLED_BY_ANSWER if taken else SETTLED_BY_NUMBER
                     break
                 if any(isinstance(answer.result, WrongSequence) for answer in answers):
                     await self._wait_out_of_order(entry.sequence, answers, interval)
@@ -302,7 +302,7 @@
             return False
         if self._loss_detector.is_lossy():
             return in_flight < SUSPECTED_LOSSY_MAX_ATTEMPTS
-        if self.silent():
+        if self.is_silent():
             return in_flight < SILENT_MAX_ATTEMPTS
         overdue = self.unanswered_seconds() > interval * MIN_JITTER
         return overdue and in_flight < MAX_ATTEMPTS
@@ -362,7 +362,7 @@
 
     def _log_settled(self, entry: "_PendingAppend", attempts: int, settled_by: str) -> None:
         """Log an append that took several attempts or was not settled by its own answer."""
-        if attempts == 1 and settled_by == BY_ANSWER:
+        if attempts == 1 and settled_by == SETTLED_BY_ANSWER:
             return
         extra = {
             "epoch": self._epoch,
--- a/src/sablemount/control/commit_loop.py
+++ b/src/sablemount/control/commit_loop.py
@@ -60,7 +60,7 @@
 
     def stuck(self) -> bool:
         """Return whether the store is silent, so that no new work can be accepted."""
-        return self._committer.silent()
+        return self._committer.is_silent()
 
     def busy(self) -> bool:
         """Return whether an append is in flight or awaited."""
--- a/src/sablemount/control/configuration_feed.py
+++ b/src/sablemount/control/configuration_feed.py
@@ -184,7 +184,9 @@
         The call is returned unchanged if the two versions would not admit it identically.
         """
         for gate in self._earlier_gates:
-            if gate.configuration.version == call.version and self.gate.admits_alike(gate, call):
+            if gate.configuration.version == call.version and self.gate.admits_identically(
+                gate, call
+            ):
                 return msgspec.structs.replace(call, version=self.version)
         return call
 
--- a/src/sablemount/control/configuration_source.py
+++ b/src/sablemount/control/configuration_source.py
@@ -26,7 +26,7 @@
 0.3 s."""
 MIN_SLOTS = 2
 """Minimum number of slots, so that a member that has disappeared does not block the others."""
-LATER = 0.1
+RETRY_DELAY_S = 0.1
 """Delay after which a member that gets no slot retries: the longest time that a part takes."""
 COMPLETE_SHARE = 0.5
 """Maximum share of this machine's link for complete configurations, which are sent to members that
@@ -57,7 +57,7 @@
             return self._complete_reply(packed)
         if not self._slots.acquire(peer, self._slot_count(packed), monotonic()):
             self._metrics.count("configuration_part", "later")
-            return ConfigurationReply(later=LATER)
+            return ConfigurationReply(later=RETRY_DELAY_S)
         reply = packed.part(call)
         if reply.offset + len(reply.part) >= reply.size:
             self._slots.release_soon(peer, monotonic())
--- a/src/sablemount/control/follow.py
+++ b/src/sablemount/control/follow.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Sequence
 
 from sablemount.control.clock import monotonic
-from sablemount.control.pages import LONGEST_PAGE, read_newest, topic_end
+from sablemount.control.pages import MAX_PAGE_TIME_S, read_newest, topic_end
 from sablemount.control.progress import Progress
 from sablemount.control.store import PageItem, ReadResult, Records, Store, Topic, Unavailable
 from sablemount.jobs.records import Record
@@ -20,7 +20,7 @@
 
 PROBE_INTERVAL_S = 0.35
 """Time without progress on a page after which a probe checks whether the store responds."""
-PAGE_TIMEOUT_S = LONGEST_PAGE
+PAGE_TIMEOUT_S = MAX_PAGE_TIME_S
 """Time without progress on a page after which a list is abandoned and restarted. It is long since
 all members read the same list at once, and a busy store also processes abandoned requests."""
 UNPROBED_ATTEMPTS = 1
--- a/src/sablemount/control/gate.py
+++ b/src/sablemount/control/gate.py
@@ -49,7 +49,7 @@
             call, organisation=organisation, version=configuration.version
         )
 
-    def admits_alike(self, other: "Gate", call: CallerCall) -> bool:
+    def admits_identically(self, other: "Gate", call: CallerCall) -> bool:
         """Return whether this version admits a call exactly as ``other`` has admitted it.
 
         It does if the queue of the call is the same in both versions, and no key has been added,
--- a/src/sablemount/control/pages.py
+++ b/src/sablemount/control/pages.py
@@ -21,7 +21,7 @@
 """A key that is greater than all others."""
 PROBE_TIMEOUT_S = 1.5
 """Time-out of a probe."""
-LONGEST_PAGE = 30.0
+MAX_PAGE_TIME_S = 30.0
 """Maximum time for one page in total."""
 UNPROBED_ATTEMPTS = 2
 """Default number of attempts of a page that are made without a probe of the store."""
@@ -126,7 +126,7 @@
     def _time_left(self) -> float:
         now = monotonic()
         progress_at = max(self._started_at, self._progress.at)
-        return min(progress_at + self._limit, self._started_at + LONGEST_PAGE) - now
+        return min(progress_at + self._limit, self._started_at + MAX_PAGE_TIME_S) - now
 
     def _next_attempt_at(self) -> float:
         """Return when the page may be requested again."""
--- a/tests/jobs/test_commit.py
+++ b/tests/jobs/test_commit.py
@@ -6,7 +6,12 @@
 
 import pytest
 
-from sablemount.control.commit import BY_ANSWER, BY_NUMBER, Committer, LostLeadership
+from sablemount.control.commit import (
+    SETTLED_BY_ANSWER,
+    SETTLED_BY_NUMBER,
+    Committer,
+    LostLeadership,
+)
 from sablemount.control.store import Producer, Topic
 from sablemount.jobs.records import Record
 from tests.emulator.loop import run
@@ -157,6 +162,6 @@
     run(scenario())
     lines = [line.__dict__ for line in caplog.records if line.msg == "append settled"]
     told = [(line["epoch"], line["sequence"], line["by"]) for line in lines]
-    assert told == [(4, 0, BY_ANSWER), (4, 1, BY_NUMBER)]
+    assert told == [(4, 0, SETTLED_BY_ANSWER), (4, 1, SETTLED_BY_NUMBER)]
     assert lines[0]["tries"] > 1
     assert lines[1]["tries"] == 1
--- a/tests/jobs/test_configuration_parts.py
+++ b/tests/jobs/test_configuration_parts.py
@@ -19,7 +19,7 @@
     TransferSlots,
     pack,
 )
-from sablemount.control.configuration_source import LATER, ConfigurationSource
+from sablemount.control.configuration_source import RETRY_DELAY_S, ConfigurationSource
 from sablemount.control.figures import Figures
 from sablemount.control.leader_link import LeaderLink
 from sablemount.control.member_settings import MemberSettings
@@ -161,7 +161,7 @@
         call = ConfigurationCall(1, True)
         replies = [await source.answer(f"m{number}", call) for number in range(33)]
         assert sum(len(reply.part) for reply in replies) <= 0.1 * 5.0 * 125_000
-        assert [reply.later for reply in replies].count(LATER) == 31
+        assert [reply.later for reply in replies].count(RETRY_DELAY_S) == 31
 
     run(scenario())
 
--- a/tests/jobs/test_keys.py
+++ b/tests/jobs/test_keys.py
@@ -347,7 +347,7 @@
 
 
 def _gates(before: Configuration, after: Configuration) -> bool:
-    return Gate(after).admits_alike(Gate(before), CallerCall(Operation.STATE, HOST, PREFIX))
+    return Gate(after).admits_identically(Gate(before), CallerCall(Operation.STATE, HOST, PREFIX))
 
 
 def _with(version: int, *queues: Queue, keyed: bool = True, keys: bytes = b"") -> Configuration:
@@ -378,7 +378,7 @@
 )
 def test_a_call_is_not_admitted_alike_if_what_it_goes_by_has_changed(after: Configuration) -> None:
     call = CallerCall(Operation.STATE, HOST, PREFIX + "xy")
-    assert not Gate(after).admits_alike(Gate(_with(3, SAME)), call)
+    assert not Gate(after).admits_identically(Gate(_with(3, SAME)), call)
 
 
 def test_without_a_queue_nothing_is_admitted_alike() -> None:
