--- a/tests/jobs/test_commit.py
+++ b/tests/jobs/test_commit.py
@@ -1,4 +1,4 @@
-"""Appends with lost answers are settled, and a fenced leader stops."""
+"""Committer: appends whose answers are lost are settled, and a fenced leader stops."""
 
 import asyncio
 import logging
@@ -26,7 +26,7 @@
     return Committer(EmulatedStore(state, "m"), epoch, random.Random(3))
 
 
-async def _opened(state: StoreState) -> Committer:
+async def _open_committer(state: StoreState) -> Committer:
     committer = _committer(state)
     await committer.open()
     return committer
@@ -35,7 +35,7 @@
 def test_an_append_without_records_uses_up_no_sequence_number() -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        committer = await _opened(state)
+        committer = await _open_committer(state)
         await committer.append([_record(1)])
         await committer.append([])
         await committer.confirm()
@@ -49,7 +49,7 @@
 def test_lost_answers_neither_lose_nor_double(late: bool) -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        committer = await _opened(state)
+        committer = await _open_committer(state)
         state.lost = 0.4
         state.late = late
         for number in range(40):
@@ -65,7 +65,7 @@
 def test_a_confirmation_on_its_way_makes_no_batch_durable() -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        committer = await _opened(state)
+        committer = await _open_committer(state)
         state.latency = 0.1
         confirming = asyncio.create_task(committer.confirm())
         await asyncio.sleep(0.06)
@@ -86,11 +86,11 @@
 def test_batches_in_flight_together_keep_their_order(lost: float) -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        committer = await _opened(state)
+        committer = await _open_committer(state)
         state.latency = 0.1
         state.lost = lost
         for start in range(0, 40, 4):
-            batches = (committer.append([_record(start + more)]) for more in range(4))
+            batches = (committer.append([_record(start + offset)]) for offset in range(4))
             await asyncio.gather(*batches)
         topic = state.topics[Topic.JOBS]
         assert [record.key for record in topic.records] == [f"k{n}" for n in range(40)]
@@ -101,14 +101,14 @@
 def test_a_later_leader_ends_the_former_one() -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        former = _committer(state, 1)
-        await former.open()
-        await former.append([_record(1)])
+        previous = _committer(state, 1)
+        await previous.open()
+        await previous.append([_record(1)])
         await _committer(state, 2).open()
         with pytest.raises(LostLeadership):
-            await former.append([_record(2)])
+            await previous.append([_record(2)])
         with pytest.raises(LostLeadership):
-            await former.confirm()
+            await previous.confirm()
         assert list(state.topics[Topic.JOBS].newest) == ["k1"]
 
     run(scenario())
@@ -117,25 +117,26 @@
 def test_appends_behind_a_late_one_catch_up() -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        committer = await _opened(state)
+        committer = await _open_committer(state)
         state.latency = 0.2
         appends = [asyncio.create_task(committer.append([_record(0)]))]
         await asyncio.sleep(0.04)
         state.latency = 0.004
         loop = asyncio.get_running_loop()
-        took = []
+        durations = []
 
-        async def timed(number: int) -> None:
+        async def append_timed(number: int) -> None:
             sent_at = loop.time()
             await committer.append([_record(number)])
-            took.append(loop.time() - sent_at)
+            durations.append(loop.time() - sent_at)
 
         for number in range(1, 40):
-            appends.append(asyncio.create_task(timed(number)))
+            appends.append(asyncio.create_task(append_timed(number)))
             await asyncio.sleep(0.055)
         await asyncio.gather(*appends)
-        # What was sent behind the late one was too early; what came after it need not wait.
-        assert max(took[10:]) < 0.02
+        # Appends sent right behind the late one are refused as out of order, but those sent after
+        # it has arrived need not wait.
+        assert max(durations[10:]) < 0.02
 
     run(scenario())
 
@@ -152,7 +153,8 @@
         await asyncio.sleep(0.1)
         state.lost = 0.0
         await first
-        # Six later ones are done elsewhere, so that the answer to this one is not remembered.
+        # Six later appends are made directly, so that the store no longer remembers the answer to
+        # number 1.
         for number in range(1, 7):
             state.append(Topic.JOBS, [_record(number)], Producer("leader", 4, number), None)
         await committer.append([_record(1)])
@@ -161,7 +163,7 @@
     caplog.set_level(logging.INFO, "sablemount")
     run(scenario())
     lines = [line.__dict__ for line in caplog.records if line.msg == "append settled"]
-    told = [(line["epoch"], line["sequence"], line["by"]) for line in lines]
-    assert told == [(4, 0, SETTLED_BY_ANSWER), (4, 1, SETTLED_BY_NUMBER)]
+    logged = [(line["epoch"], line["sequence"], line["by"]) for line in lines]
+    assert logged == [(4, 0, SETTLED_BY_ANSWER), (4, 1, SETTLED_BY_NUMBER)]
     assert lines[0]["tries"] > 1
     assert lines[1]["tries"] == 1
--- a/tests/jobs/test_commit_orders.py
+++ b/tests/jobs/test_commit_orders.py
@@ -1,8 +1,8 @@
-"""What counts as done is in the store, once and in order, whatever order calls arrive in.
+"""Completed appends are stored once and in order, whatever the order in which calls arrive.
 
-Leaders follow one another over a store whose calls overtake each other: each takes its own time on
-the way, some are lost, some lose only their answer, some are carried out seconds later. Some
-leaders are ended in the middle.
+Successive leaders write to a store whose calls overtake one another: each has its own latency, some
+are lost, some lose only their answer, and some are carried out seconds later. Some leaders are
+cancelled midway.
 """
 
 import asyncio
@@ -20,13 +20,13 @@
 BATCHES = 14
 
 
-class _Unordered(EmulatedStore):
-    """Each call takes its own time; some are lost on the way, or carried out late."""
+class _UnorderedStore(EmulatedStore):
+    """A store whose calls have varying latency; some are lost or carried out late."""
 
     def __init__(self, state: StoreState, rng: random.Random) -> None:
         super().__init__(state, "m")
         self._rng = rng
-        self._kept = state
+        self._state = state
 
     async def append(
         self,
@@ -39,45 +39,45 @@
         chance = self._rng.random()
         if chance < 0.15:
             await asyncio.sleep(timeout)
-            return Unavailable("lost on the way")
+            return Unavailable("request lost")
         loop = asyncio.get_running_loop()
         if chance < 0.3:
             delay = self._rng.uniform(0.5, 8.0)
-            loop.call_later(delay, self._kept.append, topic, records, producer, at)
+            loop.call_later(delay, self._state.append, topic, records, producer, at)
             await asyncio.sleep(timeout)
-            return Unavailable("carried out late")
+            return Unavailable("request carried out late")
         answer: asyncio.Future[AppendResult] = loop.create_future()
 
         def carry_out() -> None:
-            result = self._kept.append(topic, records, producer, at)
+            result = self._state.append(topic, records, producer, at)
             if not answer.done():
                 answer.set_result(result)
 
-        # It is carried out also if its caller has given up by then.
+        # The append is carried out even if its caller has timed out by then.
         loop.call_later(self._rng.choice((0.002, 0.004, 0.08, 0.25)), carry_out)
         result = await answer
         if chance < 0.4:
             await asyncio.sleep(timeout)
-            return Unavailable("the answer was lost")
+            return Unavailable("answer lost")
         await asyncio.sleep(self._rng.choice((0.002, 0.1)))
         return result
 
 
-async def _lead(
+async def _run_leader(
     committer: Committer, epoch: int, rng: random.Random, done: dict[str, None]
 ) -> None:
-    async def batch(number: int) -> None:
+    async def append_batch(number: int) -> None:
         key = f"{epoch}.{number:03d}"
         await committer.append([Record(key, b"value")])
         done[key] = None
 
     try:
         await committer.open()
-        # A failure ends the whole group, as it ends a leader that has been fenced.
+        # A failure cancels the whole group, as fencing ends a leader.
         async with asyncio.TaskGroup() as group:
             for number in range(BATCHES):
                 empty = rng.random() < 0.2
-                group.create_task(committer.append([]) if empty else batch(number))
+                group.create_task(committer.append([]) if empty else append_batch(number))
                 while committer.in_flight >= 2:
                     await asyncio.sleep(0.01)
                 await asyncio.sleep(rng.choice((0.0, 0.015, 0.06)))
@@ -91,21 +91,21 @@
         rng = random.Random(seed)
         state = StoreState(random.Random(seed + 1))
         done: dict[str, None] = {}
-        leads = []
+        leaders = []
         for epoch in range(1, LEADERS + 1):
-            committer = Committer(_Unordered(state, rng), epoch, random.Random(seed + epoch))
-            leads.append(asyncio.create_task(_lead(committer, epoch, rng, done)))
-            # The former one goes on for a while, and is fenced, or is ended.
+            committer = Committer(_UnorderedStore(state, rng), epoch, random.Random(seed + epoch))
+            leaders.append(asyncio.create_task(_run_leader(committer, epoch, rng, done)))
+            # The previous leader continues for a while and is then fenced or cancelled.
             await asyncio.sleep(rng.uniform(0.3, 4.0))
             if epoch < LEADERS and rng.random() < 0.5:
-                leads[-1].cancel()
-        results = await asyncio.wait_for(asyncio.gather(*leads, return_exceptions=True), 300.0)
-        allowed = (type(None), asyncio.CancelledError)
-        assert all(isinstance(result, allowed) for result in results)
+                leaders[-1].cancel()
+        results = await asyncio.wait_for(asyncio.gather(*leaders, return_exceptions=True), 300.0)
+        expected = (type(None), asyncio.CancelledError)
+        assert all(isinstance(result, expected) for result in results)
         await asyncio.sleep(10.0)
-        kept = [record.key for record in state.topics[Topic.JOBS].records]
-        assert kept == sorted(set(kept))
-        assert [key for key in done if key not in kept] == []
+        stored = [record.key for record in state.topics[Topic.JOBS].records]
+        assert stored == sorted(set(stored))
+        assert [key for key in done if key not in stored] == []
         assert done
 
     run(scenario())
--- a/tests/jobs/test_configuration_parts.py
+++ b/tests/jobs/test_configuration_parts.py
@@ -1,4 +1,4 @@
-"""A configuration in parts: what comes together, who is served, what older processes make of it."""
+"""Transfer of a configuration in parts: reassembly, slots, compatibility with older versions."""
 
 import asyncio
 import os
@@ -40,21 +40,21 @@
 from tests.emulator.system import Codec
 
 
-def _configuration(version: int, bytes_each: int = 32, organisations: int = 4_000) -> Configuration:
-    """Return a configuration whose keys do not shrink."""
+def _configuration(version: int, key_bytes: int = 32, organisations: int = 4_000) -> Configuration:
+    """Return a configuration with random keys, which do not compress."""
     rng = random.Random(version)
-    found = tuple(
-        Organisation(f"o{number}", (rng.randbytes(bytes_each),)) for number in range(organisations)
+    random_organisations = tuple(
+        Organisation(f"o{number}", (rng.randbytes(key_bytes),)) for number in range(organisations)
     )
     queue = Queue("host", "/queue/", QueueTerms("work", "pool"))
-    return Configuration(version, (queue,), keyed=True, organisations=found)
+    return Configuration(version, (queue,), keyed=True, organisations=random_organisations)
 
 
-def _packed(configuration: Configuration) -> PackedConfiguration:
+def _pack(configuration: Configuration) -> PackedConfiguration:
     return run(pack(configuration))
 
 
-def _arrive(packed: PackedConfiguration) -> IncomingTransfer:
+def _transfer(packed: PackedConfiguration) -> IncomingTransfer:
     transfer = IncomingTransfer(packed.part(ConfigurationCall(-1, True)), 0.0)
     while not transfer.complete:
         reply = packed.part(transfer.next_call(-1))
@@ -69,11 +69,11 @@
 @pytest.mark.parametrize("organisations", [0, 1, 4_000])
 def test_the_parts_together_are_the_configuration(organisations: int) -> None:
     configuration = _configuration(3, organisations=organisations)
-    assert _arrive(_packed(configuration)).configuration() == configuration
+    assert _transfer(_pack(configuration)).configuration() == configuration
 
 
 def test_parts_of_another_version_are_not_taken_for_the_next() -> None:
-    packed, other = _packed(_configuration(3)), _packed(_configuration(4))
+    packed, other = _pack(_configuration(3)), _pack(_configuration(4))
     transfer = IncomingTransfer(packed.part(ConfigurationCall(-1, True)), 0.0)
     reply = other.part(transfer.next_call(-1))
     assert reply.offset == 0
@@ -82,7 +82,7 @@
 
 
 def test_a_part_that_comes_twice_counts_once() -> None:
-    packed = _packed(_configuration(3))
+    packed = _pack(_configuration(3))
     transfer = IncomingTransfer(packed.part(ConfigurationCall(-1, True)), 0.0)
     second = packed.part(transfer.next_call(-1))
     assert transfer.add(second)
@@ -91,10 +91,10 @@
 
 
 def test_what_was_damaged_is_no_configuration() -> None:
-    packed = _packed(_configuration(3))
-    damaged = msgspec.structs.replace(packed, data=packed.data[:-1] + b"\0")
+    packed = _pack(_configuration(3))
+    corrupted = msgspec.structs.replace(packed, data=packed.data[:-1] + b"\0")
     with pytest.raises(InvalidParts):
-        _arrive(damaged).configuration()
+        _transfer(corrupted).configuration()
 
 
 def test_each_process_packs_the_same_bytes() -> None:
@@ -105,7 +105,7 @@
         "pools = frozenset(f'pool-{number}' for number in range(50))\n"
         "print(asyncio.run(pack(Configuration(1, pools=pools))).check)\n"
     )
-    found = set()
+    outputs = set()
     for seed in ("1", "2", "3"):
         environment = {
             **os.environ,
@@ -113,42 +113,44 @@
             "PYTHONPATH": os.pathsep.join(sys.path),
         }
         command = [sys.executable, "-c", program]
-        found.add(subprocess.run(command, env=environment, capture_output=True, check=True).stdout)
-    assert len(found) == 1
+        outputs.add(
+            subprocess.run(command, env=environment, capture_output=True, check=True).stdout
+        )
+    assert len(outputs) == 1
 
 
-# -- Seats -----------------------------------------------------------------------------------
+# -- Slots -----------------------------------------------------------------------------------
 
 
 def test_only_so_many_are_served_at_a_time() -> None:
-    seats = TransferSlots()
-    assert [seats.acquire(name, 2, 0.0) for name in "abcd"] == [True, True, False, False]
-    assert [seats.acquire(name, 2, 0.1) for name in "dcba"] == [False, False, True, True]
+    slots = TransferSlots()
+    assert [slots.acquire(name, 2, 0.0) for name in "abcd"] == [True, True, False, False]
+    assert [slots.acquire(name, 2, 0.1) for name in "dcba"] == [False, False, True, True]
 
 
 def test_whoever_came_first_is_next() -> None:
-    seats = TransferSlots()
-    assert [seats.acquire(name, 1, 0.0) for name in "abc"] == [True, False, False]
-    seats.release_soon("a", 0.1)
-    assert [seats.acquire(name, 1, 0.3) for name in "cb"] == [False, True]
+    slots = TransferSlots()
+    assert [slots.acquire(name, 1, 0.0) for name in "abc"] == [True, False, False]
+    slots.release_soon("a", 0.1)
+    assert [slots.acquire(name, 1, 0.3) for name in "cb"] == [False, True]
 
 
 def test_the_last_part_is_on_its_way_before_the_next_member_is_served() -> None:
-    seats = TransferSlots()
-    assert seats.acquire("a", 1, 0.0)
-    seats.release_soon("a", 0.0)
-    assert not seats.acquire("b", 1, 0.05)
-    assert seats.acquire("b", 1, 0.15)
+    slots = TransferSlots()
+    assert slots.acquire("a", 1, 0.0)
+    slots.release_soon("a", 0.0)
+    assert not slots.acquire("b", 1, 0.05)
+    assert slots.acquire("b", 1, 0.15)
 
 
 def test_whoever_asks_no_more_keeps_nobody_out() -> None:
-    seats = TransferSlots()
-    assert [seats.acquire(name, 1, 0.0) for name in "abc"] == [True, False, False]
-    assert not seats.acquire("c", 1, 0.9)
-    assert seats.acquire("c", 1, 1.1)
+    slots = TransferSlots()
+    assert [slots.acquire(name, 1, 0.0) for name in "abc"] == [True, False, False]
+    assert not slots.acquire("c", 1, 0.9)
+    assert slots.acquire("c", 1, 1.1)
 
 
-# -- Whom a source serves --------------------------------------------------------------------
+# -- Replies of a source ---------------------------------------------------------------------
 
 
 def _source(mbits: float, configuration: Configuration) -> ConfigurationSource:
@@ -184,25 +186,25 @@
     run(scenario())
 
 
-# -- Older processes -------------------------------------------------------------------------
+# -- Compatibility with older versions -------------------------------------------------------
 
 
-class _OldCall(msgspec.Struct, frozen=True, tag="ConfigurationCall"):
+class _OlderCall(msgspec.Struct, frozen=True, tag="ConfigurationCall"):
     version: int
 
 
-class _OldReply(msgspec.Struct, frozen=True, tag="ConfigurationReply"):
+class _OlderReply(msgspec.Struct, frozen=True, tag="ConfigurationReply"):
     configuration: Configuration | None = None
 
 
 def test_an_older_member_gets_it_whole() -> None:
     async def scenario() -> None:
         configuration = _configuration(3)
-        sent = msgspec.msgpack.encode(_OldCall(1))
+        sent = msgspec.msgpack.encode(_OlderCall(1))
         call = msgspec.msgpack.decode(sent, type=Message)
         assert isinstance(call, ConfigurationCall)
         reply = await _source(100.0, configuration).answer("m", call)
-        answer = msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=_OldReply)
+        answer = msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=_OlderReply)
         assert answer.configuration == configuration
 
     run(scenario())
@@ -218,39 +220,39 @@
             for number in range(33):
                 replies.append(await source.answer(f"m{number}", ConfigurationCall(1)))
             await asyncio.sleep(0.1)
-        whole = sum(reply.configuration is not None for reply in replies)
-        assert whole >= 2
-        assert size * (whole - 1) <= 0.5 * 5.0 * 100.0 * 125_000
+        complete_replies = sum(reply.configuration is not None for reply in replies)
+        assert complete_replies >= 2
+        assert size * (complete_replies - 1) <= 0.5 * 5.0 * 100.0 * 125_000
 
     run(scenario())
 
 
 def test_an_older_process_understands_a_call_for_parts() -> None:
     sent = msgspec.msgpack.encode(ConfigurationCall(1, True, 2, 3, 4))
-    assert msgspec.msgpack.decode(sent, type=_OldCall) == _OldCall(1)
+    assert msgspec.msgpack.decode(sent, type=_OlderCall) == _OlderCall(1)
 
 
-class _OldLeader:
-    """The way to a leader that knows no parts."""
+class _OlderLeaderLink:
+    """A link to a leader of an older version, which does not support parts."""
 
     closed = False
     peer = "leader"
 
-    def __init__(self, configuration: Configuration, seconds: float = 0.0) -> None:
-        self.asked: list[Message] = []
+    def __init__(self, configuration: Configuration, delay_s: float = 0.0) -> None:
+        self.messages: list[Message] = []
         self._configuration = configuration
-        self._seconds = seconds
+        self._delay_s = delay_s
 
     async def call(self, message: Message, timeout: float) -> Reply:
-        self.asked.append(message)
-        await asyncio.sleep(min(timeout, self._seconds))
-        if timeout < self._seconds:
+        self.messages.append(message)
+        await asyncio.sleep(min(timeout, self._delay_s))
+        if timeout < self._delay_s:
             raise CallFailed("no answer in time", True)
-        whole = msgspec.msgpack.encode(_OldReply(self._configuration))
-        return msgspec.msgpack.decode(whole, type=ConfigurationReply)
+        encoded = msgspec.msgpack.encode(_OlderReply(self._configuration))
+        return msgspec.msgpack.decode(encoded, type=ConfigurationReply)
 
 
-def _feed(leader: _OldLeader) -> ConfigurationFeed:
+def _feed(leader: _OlderLeaderLink) -> ConfigurationFeed:
     async def refuse(link: object, message: Message) -> Reply:
         raise AssertionError
 
@@ -269,7 +271,7 @@
 def test_an_older_leader_gives_it_whole_also_if_that_takes_a_second() -> None:
     async def scenario() -> None:
         configuration = _configuration(3)
-        feed = _feed(_OldLeader(configuration, 1.4))
+        feed = _feed(_OlderLeaderLink(configuration, 1.4))
         for _ in range(40):
             feed.heard(Pong(1, True, 0.0, configuration=3), 0.0)
             await asyncio.sleep(0.15)
@@ -280,28 +282,28 @@
 
 def test_an_older_leader_that_wants_it_gets_it_whole_and_once_at_a_time() -> None:
     async def scenario() -> None:
-        leader = _OldLeader(Configuration(), 1.0)
+        leader = _OlderLeaderLink(Configuration(), 1.0)
         feed = _feed(leader)
         feed.offer(_configuration(3), "store")
         for _ in range(3):
             feed.heard(Pong(1, True, 0.0, configuration=1, wants_configuration=True), 0.0)
             await asyncio.sleep(0.3)
-        assert leader.asked == [ConfigurationNews(_configuration(3))]
+        assert leader.messages == [ConfigurationNews(_configuration(3))]
 
     run(scenario())
 
 
-# -- Callers that wait -----------------------------------------------------------------------
+# -- Waiting callers -------------------------------------------------------------------------
 
 
 def test_callers_that_wait_share_one_call() -> None:
     async def scenario() -> None:
         configuration = _configuration(3)
-        leader = _OldLeader(configuration, 0.1)
+        leader = _OlderLeaderLink(configuration, 0.1)
         feed = _feed(leader)
         reached = await asyncio.gather(*(feed.wait_for_version(3, 0.4) for _ in range(50)))
         assert all(reached)
-        assert len(leader.asked) == 1
+        assert len(leader.messages) == 1
 
     run(scenario())
 
@@ -309,10 +311,10 @@
 def test_a_caller_does_not_wait_for_longer_than_it_may() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        feed = _feed(_OldLeader(_configuration(3), 30.0))
-        began = loop.time()
+        feed = _feed(_OlderLeaderLink(_configuration(3), 30.0))
+        started_at = loop.time()
         assert not await feed.wait_for_version(3, 0.4)
-        assert loop.time() - began < 0.41
+        assert loop.time() - started_at < 0.41
 
     run(scenario())
 
@@ -320,10 +322,10 @@
 def test_a_caller_sees_at_once_that_there_is_no_leader() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        feed = _feed(_OldLeader(_configuration(3)))
+        feed = _feed(_OlderLeaderLink(_configuration(3)))
         feed._link.leads = False
-        began = loop.time()
+        started_at = loop.time()
         assert not await feed.wait_for_version(3, 0.4)
-        assert loop.time() - began < 0.06
+        assert loop.time() - started_at < 0.06
 
     run(scenario())
--- a/tests/jobs/test_confirmation_age.py
+++ b/tests/jobs/test_confirmation_age.py
@@ -1,8 +1,8 @@
-"""What the leader tells of its configuration's age is as old as the way of the answer is long.
+"""A delayed answer to a ping does not make a member's configuration look more recent.
 
-A member that fails closed serves callers only while its configuration was confirmed of late. The
-leader's answer to a ping tells for how long its own has not been; an answer that took long to come
-must not make the member's confirmation younger than the leader's was.
+A member that fails closed serves callers only while its configuration was confirmed recently. The
+leader's answer to a ping contains the age of its own confirmation; the delay of the answer must not
+make the member's confirmation more recent than the leader's was.
 """
 
 import asyncio
@@ -19,11 +19,11 @@
 from tests.emulator.network import Wires
 from tests.emulator.system import Codec
 
-WAY_BACK = PING_TIMEOUT - 0.05
+ANSWER_DELAY_S = PING_TIMEOUT - 0.05
 
 
 class _SlowLink:
-    """A link over which answers take long to come; the leader answers at once."""
+    """A link that delays answers; the leader itself answers at once."""
 
     closed = False
     peer = "leader"
@@ -34,7 +34,7 @@
     async def call(self, message: Message, timeout: float) -> Reply:
         age = asyncio.get_running_loop().time() - self._confirmed_at
         pong = Pong(1, True, 0.0, configuration=1, configuration_age=age)
-        await asyncio.sleep(WAY_BACK)
+        await asyncio.sleep(ANSWER_DELAY_S)
         return pong
 
 
--- a/tests/jobs/test_counted_store.py
+++ b/tests/jobs/test_counted_store.py
@@ -1,4 +1,4 @@
-"""Calls of the store are counted by topic and outcome, under few labels."""
+"""Calls to the store are counted by topic and outcome, with a bounded number of labels."""
 
 import random
 
@@ -12,7 +12,7 @@
 from tests.emulator.store import EmulatedStore, StoreState
 
 
-class _Fails(EmulatedStore):
+class _FailingStore(EmulatedStore):
     def __init__(self, reason: str) -> None:
         super().__init__(StoreState(random.Random(1)), "m")
         self._reason = reason
@@ -29,8 +29,8 @@
 )
 def test_a_call_without_an_answer_is_counted_by_its_kind(reason: str, label: str) -> None:
     async def scenario() -> None:
-        figures = Figures()
-        await CountedStore(_Fails(reason), figures).newest(Topic.JOBS, "", 1.0)
-        assert figures.counters == {("store_page_jobs", label): 1}
+        metrics = Figures()
+        await CountedStore(_FailingStore(reason), metrics).newest(Topic.JOBS, "", 1.0)
+        assert metrics.counters == {("store_page_jobs", label): 1}
 
     run(scenario())
--- a/tests/jobs/test_follow.py
+++ b/tests/jobs/test_follow.py
@@ -1,4 +1,4 @@
-"""A reader is kept up to date with few calls, also when records go."""
+"""A follower keeps a reader up to date with few calls, even if the log drops records."""
 
 import asyncio
 import random
@@ -10,10 +10,10 @@
 from tests.emulator.loop import run
 from tests.emulator.store import EmulatedStore, StoreState
 
-FRESH_START = 1.0
+LIST_INTERVAL_S = 1.0
 
 
-class _Counting(EmulatedStore):
+class _CountingStore(EmulatedStore):
     lists = 0
     reads = 0
 
@@ -27,19 +27,19 @@
 
 
 class _Reader:
-    """What a follower has told of the VMs' topic."""
+    """The records of the VMs' topic that a follower has delivered."""
 
     def __init__(self) -> None:
         self.state = StoreState(random.Random(1))
-        self.store = _Counting(self.state, "m")
+        self.store = _CountingStore(self.state, "m")
         self.known: dict[str, bytes] = {}
-        follower = Follower(self.store, Topic.VMS, self._listed, self._told, FRESH_START)
+        follower = Follower(self.store, Topic.VMS, self._on_list, self._on_records, LIST_INTERVAL_S)
         self.task = asyncio.create_task(follower.run())
 
-    def _listed(self, items: Sequence[PageItem], end: int) -> None:
+    def _on_list(self, items: Sequence[PageItem], end: int) -> None:
         self.known = {item.record.key: item.record.value for item in items}
 
-    def _told(self, records: Sequence[Record], end: int) -> None:
+    def _on_records(self, records: Sequence[Record], end: int) -> None:
         for record in records:
             self.known[record.key] = record.value
 
@@ -50,13 +50,13 @@
 def test_a_list_is_not_read_anew_with_each_change() -> None:
     async def scenario() -> None:
         reader = _Reader()
-        for beat in range(400):
-            reader.write(f"vm{beat % 40}", b"%d" % beat)
+        for heartbeat in range(400):
+            reader.write(f"vm{heartbeat % 40}", b"%d" % heartbeat)
             await asyncio.sleep(0.0125)
         await asyncio.sleep(0.3)
         assert reader.known["vm39"] == b"399"
         assert len(reader.known) == 40
-        # Five seconds of eighty changes each.
+        # 5 seconds with 80 changes per second.
         assert reader.store.lists <= 7
         assert reader.store.reads <= 60
 
@@ -81,10 +81,10 @@
         await asyncio.sleep(0.2)
         reader.write("first", b"1")
         await asyncio.sleep(0.01)
-        # While the follower pauses, a change comes and its record goes.
+        # While the follower pauses, a record is written and dropped.
         reader.write("second", b"2")
         reader.state.forget_history()
-        await asyncio.sleep(FRESH_START + 0.5)
+        await asyncio.sleep(LIST_INTERVAL_S + 0.5)
         assert reader.known == {"first": b"1", "second": b"2"}
 
     run(scenario())
--- a/tests/jobs/test_given_up.py
+++ b/tests/jobs/test_given_up.py
@@ -1,8 +1,8 @@
-"""Who waits for a batch and gives up does not make it count as done, nor waits without end.
+"""A cancelled wait for a batch does not make it count as complete, and a failed batch ends waits.
 
-An append without records waits until what is in flight is in the store. If its wait alone is given
-up, the batch that it waited for is still on its way: it must go on until the store has it. What
-waits for one that a later leader has fenced ends with it.
+An append without records waits until the appends in flight are stored. If only this wait is
+cancelled, the awaited batch is still in flight and must be retried until it is stored. An append
+that waits for a batch which a later leader has fenced must end with it.
 """
 
 import asyncio
@@ -25,9 +25,9 @@
         state.down = True
         batch = asyncio.create_task(committer.append([Record("j/accepted", b"job")]))
         await asyncio.sleep(0.05)
-        waiting = asyncio.create_task(committer.append([]))
+        waiter = asyncio.create_task(committer.append([]))
         await asyncio.sleep(0.05)
-        waiting.cancel()
+        waiter.cancel()
         await asyncio.sleep(1.0)
         assert not batch.done()
         state.down = False
--- a/tests/jobs/test_many_queues.py
+++ b/tests/jobs/test_many_queues.py
@@ -1,4 +1,4 @@
-"""A caller's queue is found among thousands without a look at each of them."""
+"""A caller's queue is found among thousands without examining each of them."""
 
 import random
 from typing import Any
@@ -12,16 +12,16 @@
 
 
 class _Path(str):
-    """A path that counts how often it is looked at."""
+    """A path that counts how often it is examined."""
 
-    looks = 0
+    accesses = 0
 
     def startswith(self, *args: Any) -> bool:
-        type(self).looks += 1
+        type(self).accesses += 1
         return super().startswith(*args)
 
     def __getitem__(self, index: Any) -> str:
-        type(self).looks += 1
+        type(self).accesses += 1
         return super().__getitem__(index)
 
 
@@ -34,7 +34,7 @@
     gate = Gate(Configuration(1, queues))
     admitted = gate.admit(CallerCall(Operation.STATE, HOST, _Path("/q04999/job")), None)
     assert isinstance(admitted, CallerCall)
-    assert 0 < _Path.looks < 10
+    assert 0 < _Path.accesses < 10
 
 
 def test_the_longest_prefix_at_the_host_is_taken() -> None:
@@ -48,7 +48,9 @@
     for _ in range(500):
         host = rng.choice("xyz")
         path = "/" + "".join(rng.choice("ab/") for _ in range(rng.randrange(6)))
-        matching = [each for each in queues if each.host == host and path.startswith(each.prefix)]
-        longest = max(matching, key=lambda each: len(each.prefix), default=None)
+        matching = [
+            queue for queue in queues if queue.host == host and path.startswith(queue.prefix)
+        ]
+        longest = max(matching, key=lambda queue: len(queue.prefix), default=None)
         found = gate.queue(CallerCall(Operation.STATE, host, path))
         assert found is longest
--- a/tests/jobs/test_vm_checks.py
+++ b/tests/jobs/test_vm_checks.py
@@ -1,4 +1,4 @@
-"""The emulated VMs judge what they are told: each check fires, and only where it should."""
+"""The emulated VMs check the requests they get: each check reports violations, and only those."""
 
 import asyncio
 import random
@@ -14,35 +14,35 @@
 from tests.emulator.vms import LEASE, Cell
 
 TASK = "job.0.0.0"
-SECONDS = 0.1
-"""More than a run takes here."""
-FAR = 10**12
-"""A lease that is cut to its longest."""
+RUN_TIME_S = 0.1
+"""Longer than a run takes in these tests."""
+LEASE_END_MS = 10**12
+"""A lease expiry in ms far beyond the longest lease, to which the VM reduces it."""
 
 Case = Callable[[Cell, Vm, Vm], Coroutine[object, object, None]]
 
 
 def _start(cell: Cell, vm: Vm, number: int) -> None:
-    cell.start(vm, StartRun(vm.info.name, TASK, number, "", 0.0), 1, FAR)
+    cell.start(vm, StartRun(vm.info.name, TASK, number, "", 0.0), 1, LEASE_END_MS)
 
 
 def _acknowledge(cell: Cell, vm: Vm) -> None:
     cell.hold(vm, HoldCall(vm.info.name, "", 1, 0, vm.next_end - 1, 0.0))
 
 
-async def _ended(cell: Cell, vm: Vm) -> None:
+async def _run_to_completion(cell: Cell, vm: Vm) -> None:
     _start(cell, vm, 1)
-    await asyncio.sleep(SECONDS)
+    await asyncio.sleep(RUN_TIME_S)
 
 
 async def _started_after_a_noted_end(cell: Cell, one: Vm, other: Vm) -> None:
-    await _ended(cell, one)
+    await _run_to_completion(cell, one)
     _acknowledge(cell, one)
     _start(cell, other, 2)
 
 
 async def _noted_after_a_second_start(cell: Cell, one: Vm, other: Vm) -> None:
-    await _ended(cell, one)
+    await _run_to_completion(cell, one)
     _start(cell, other, 2)
     _acknowledge(cell, one)
 
@@ -58,18 +58,18 @@
 
 
 async def _started_after_its_job_was_shown_as_done(cell: Cell, one: Vm, other: Vm) -> None:
-    await _ended(cell, one)
+    await _run_to_completion(cell, one)
     cell.succeeded.add("job")
     _start(cell, other, 2)
 
 
 async def _started_after_an_end_that_nobody_noted(cell: Cell, one: Vm, other: Vm) -> None:
-    await _ended(cell, one)
+    await _run_to_completion(cell, one)
     _start(cell, other, 2)
 
 
 async def _noted_after_the_lease_was_over(cell: Cell, one: Vm, other: Vm) -> None:
-    await _ended(cell, one)
+    await _run_to_completion(cell, one)
     await asyncio.sleep(LEASE * 1.1)
     _acknowledge(cell, one)
     _start(cell, other, 2)
@@ -81,7 +81,7 @@
     _start(cell, other, 2)
 
 
-async def _judged(case: Case) -> list[str]:
+async def _violations(case: Case) -> list[str]:
     cell = Cell(random.Random(1))
     cell.fail_share = 0.0
     cell.seconds = 0.001
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    ("case", "wrong"),
+    ("case", "violation"),
     [
         (_started_after_a_noted_end, "started after its end was noted"),
         (_noted_after_a_second_start, "started again after an end that was noted"),
@@ -101,8 +101,8 @@
         (_started_after_its_job_was_shown_as_done, "started after its job had succeeded"),
     ],
 )
-def test_a_broken_rule_is_noted(case: Case, wrong: str) -> None:
-    assert run(_judged(case)) == [f"{wrong}: {TASK}"]
+def test_a_broken_rule_is_noted(case: Case, violation: str) -> None:
+    assert run(_violations(case)) == [f"{violation}: {TASK}"]
 
 
 @pytest.mark.parametrize(
@@ -114,4 +114,4 @@
     ],
 )
 def test_a_second_start_may_be_right(case: Case) -> None:
-    assert run(_judged(case)) == []
+    assert run(_violations(case)) == []
