--- a/tests/jobs/test_keys.py
+++ b/tests/jobs/test_keys.py
@@ -1,4 +1,4 @@
-"""Who is let in: by which key, by which version, at which member, whatever fails meanwhile."""
+"""Admission of callers by API key and configuration version, at each member and during failures."""
 
 import asyncio
 
@@ -13,10 +13,10 @@
 RUEDA = Organisation("rueda", (key_digest(b"rueda"), key_digest(b"second")))
 YARD = Organisation("yard", (key_digest(b"yard"),))
 TERMS = QueueTerms("work", "pool")
-APPLY_TIME = 2.0
-"""Seconds after which a change has to be in force: the shortest of all deployments."""
-LATE = 0.2
-"""Seconds by which a change is in force where nothing is wrong: a tenth of that."""
+MAX_APPLY_TIME_S = 2.0
+"""Time within which a change must be in force: the shortest limit of all deployments."""
+USUAL_APPLY_TIME_S = 0.2
+"""Time within which a change is in force without failures: a tenth of that."""
 
 
 def _call(operation: Operation = Operation.STATE, name: str = "job") -> CallerCall:
@@ -77,10 +77,10 @@
     assert refused.retry_after > 0
 
 
-# -- Jobs of others --------------------------------------------------------------------------
+# -- Jobs of other organisations -------------------------------------------------------------
 
 
-async def _started(members: int = 4, organisations: tuple[Organisation, ...] = ()) -> System:
+async def _started_system(members: int = 4, organisations: tuple[Organisation, ...] = ()) -> System:
     system = System(31, members=members, vms=12)
     system.configure(2, organisations=organisations or (RUEDA, YARD))
     system.start_all()
@@ -94,18 +94,18 @@
 
 def test_a_job_is_hidden_from_other_organisations() -> None:
     async def scenario() -> None:
-        system = await _started()
+        system = await _started_system()
         spec = system.job()
         await system.submit("job", spec, "rueda")
         assert system.accepted == {"job"}
-        read = await _ask(system, "m1", b"yard", _call())
-        cancelled = await _ask(system, "m2", b"yard", _call(Operation.CANCEL))
-        again = CallerCall(Operation.SUBMIT, HOST, PREFIX + "job", system.job())
-        taken = await _ask(system, "m3", b"yard", again)
+        state_reply = await _ask(system, "m1", b"yard", _call())
+        cancel_reply = await _ask(system, "m2", b"yard", _call(Operation.CANCEL))
+        resubmission = CallerCall(Operation.SUBMIT, HOST, PREFIX + "job", system.job())
+        submit_reply = await _ask(system, "m3", b"yard", resubmission)
         unknown = await _ask(system, "m1", b"yard", _call(name="none"))
-        assert read == cancelled == unknown
-        assert read.outcome is Outcome.NO_JOB
-        assert taken.outcome is Outcome.NAME_TAKEN
+        assert state_reply == cancel_reply == unknown
+        assert state_reply.outcome is Outcome.NO_JOB
+        assert submit_reply.outcome is Outcome.NAME_TAKEN
         own = await _ask(system, "m1", b"second", _call())
         assert own.outcome is Outcome.DONE
         await system.settle(30.0)
@@ -116,7 +116,7 @@
 
 def test_an_ended_job_stays_hidden_also_under_a_later_leader() -> None:
     async def scenario() -> None:
-        system = await _started()
+        system = await _started_system()
         await system.submit("job", system.job(), "rueda")
         await system.settle(30.0)
         leader = system.leader()
@@ -145,12 +145,12 @@
 # -- Changes ---------------------------------------------------------------------------------
 
 
-async def _in_force(system: System, key: bytes, outcome: Outcome) -> float:
-    """Return after how many seconds all members answer a key in some way, and go on to."""
+async def _time_to_apply(system: System, key: bytes, outcome: Outcome) -> float:
+    """Return the seconds until all members consistently answer a key with ``outcome``."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    last = began
-    while loop.time() - began < APPLY_TIME + 2.0:
+    started_at = loop.time()
+    last = started_at
+    while loop.time() - started_at < MAX_APPLY_TIME_S + 2.0:
         asked_at = loop.time()
         replies = await asyncio.gather(
             *(_ask(system, name, key, _call()) for name in system.members)
@@ -158,25 +158,25 @@
         if any(reply.outcome is not outcome for reply in replies):
             last = asked_at
         await asyncio.sleep(0.02)
-    return last - began
+    return last - started_at
 
 
 def test_a_key_that_is_taken_away_is_refused_soon_by_all() -> None:
     async def scenario() -> None:
-        system = await _started()
+        system = await _started_system()
         system.configure(5, organisations=(Organisation("rueda", (key_digest(b"second"),)), YARD))
-        assert await _in_force(system, b"rueda", Outcome.NO_KEY) < LATE
-        assert await _in_force(system, b"second", Outcome.NO_JOB) == 0.0
+        assert await _time_to_apply(system, b"rueda", Outcome.NO_KEY) < USUAL_APPLY_TIME_S
+        assert await _time_to_apply(system, b"second", Outcome.NO_JOB) == 0.0
 
     run(scenario())
 
 
 def test_a_key_that_is_added_is_honoured_soon_by_all() -> None:
     async def scenario() -> None:
-        system = await _started()
+        system = await _started_system()
         third = Organisation("third", (key_digest(b"third"),))
         system.configure(5, organisations=(RUEDA, YARD, third))
-        assert await _in_force(system, b"third", Outcome.NO_JOB) < LATE
+        assert await _time_to_apply(system, b"third", Outcome.NO_JOB) < USUAL_APPLY_TIME_S
 
     run(scenario())
 
@@ -184,47 +184,51 @@
 @pytest.mark.parametrize("who", ["followers", "leader", "all but one"])
 def test_members_that_the_store_turns_away_learn_of_a_change_from_others(who: str) -> None:
     async def scenario() -> None:
-        system = await _started(members=8)
+        system = await _started_system(members=8)
         leader = system.leader()
         assert leader is not None
         others = [name for name in system.members if name != leader]
-        away = {"followers": others[:3], "leader": [leader], "all but one": [leader, *others[1:]]}
-        system.store.turned_away |= set(away[who])
+        refused = {
+            "followers": others[:3],
+            "leader": [leader],
+            "all but one": [leader, *others[1:]],
+        }
+        system.store.turned_away |= set(refused[who])
         await asyncio.sleep(0.1)
         system.configure(5, organisations=(YARD,))
-        assert await _in_force(system, b"rueda", Outcome.NO_KEY) < APPLY_TIME
+        assert await _time_to_apply(system, b"rueda", Outcome.NO_KEY) < MAX_APPLY_TIME_S
 
     run(scenario())
 
 
 def test_versions_that_come_in_quick_succession_end_with_the_last() -> None:
     async def scenario() -> None:
-        system = await _started(members=6)
+        system = await _started_system(members=6)
         for version in range(3, 43):
             system.configure(version, organisations=(YARD, RUEDA) if version % 2 else (YARD,))
             await asyncio.sleep(0.05)
-        assert await _in_force(system, b"rueda", Outcome.NO_KEY) < 0.5
+        assert await _time_to_apply(system, b"rueda", Outcome.NO_KEY) < 0.5
         assert {member.feed.version for member in system.members.values()} == {42}
 
     run(scenario())
 
 
 def test_no_member_goes_back_behind_a_version_that_it_has_shown() -> None:
-    """A leader that knows a change is lost, and the next one has not read it."""
+    """A leader that knows a change is lost, and its successor has not read the change."""
 
     async def scenario() -> None:
-        system = await _started(members=8)
+        system = await _started_system(members=8)
         leader = system.leader()
         assert leader is not None
         slow = [name for name in system.members if name != leader][:6]
         system.store.turned_away |= set(slow)
         system.configure(5, organisations=(YARD,))
         await asyncio.sleep(0.7)
-        shown = {name for name, member in system.members.items() if member.feed.version == 5}
-        assert shown == set(system.members)
+        updated = {name for name, member in system.members.items() if member.feed.version == 5}
+        assert updated == set(system.members)
         system.power_off(leader, 9.0)
         for _ in range(150):
-            for name in shown & set(system.members):
+            for name in updated & set(system.members):
                 reply = await _ask(system, name, b"rueda", _call())
                 assert reply.outcome in (Outcome.NO_KEY, Outcome.NOT_TAKEN)
             await asyncio.sleep(0.02)
@@ -234,15 +238,17 @@
 
 def test_a_member_that_hears_no_leader_refuses_nobody_for_a_key() -> None:
     async def scenario() -> None:
-        system = await _started()
+        system = await _started_system()
         leader = system.leader()
-        alone = next(name for name in system.members if name != leader)
-        system.store.turned_away.add(alone)
-        system.wires.cuts |= {frozenset((alone, name)) for name in system.names if name != alone}
+        isolated = next(name for name in system.members if name != leader)
+        system.store.turned_away.add(isolated)
+        system.wires.cuts |= {
+            frozenset((isolated, name)) for name in system.names if name != isolated
+        }
         third = Organisation("third", (key_digest(b"third"),))
         system.configure(5, organisations=(RUEDA, YARD, third))
-        await asyncio.sleep(APPLY_TIME)
-        reply = await _ask(system, alone, b"third", _call())
+        await asyncio.sleep(MAX_APPLY_TIME_S)
+        reply = await _ask(system, isolated, b"third", _call())
         assert reply.outcome is Outcome.NOT_TAKEN
         assert reply.retry_after > 0
 
@@ -253,9 +259,9 @@
     async def scenario() -> None:
         system = System(31)
         topic = next(topic for topic in system.store.topics if topic.value == "configuration")
-        kept = system.store.topics[topic]
-        kept.newest.clear()
-        kept.records.clear()
+        log = system.store.topics[topic]
+        log.newest.clear()
+        log.records.clear()
         system.start_all()
         await asyncio.sleep(2.0)
         assert not any(member.ready for member in system.members.values())
@@ -268,7 +274,7 @@
 
 def test_a_member_that_is_behind_lets_no_dropped_key_in_once_the_leader_knows() -> None:
     async def scenario() -> None:
-        system = await _started()
+        system = await _started_system()
         behind = next(name for name in system.members if name != system.leader())
         system.store.blind.add(behind)
         system.configure(5, organisations=(YARD,))
@@ -282,21 +288,21 @@
 
 def test_a_leader_that_is_behind_gets_a_newer_version_from_a_member() -> None:
     async def scenario() -> None:
-        system = await _started()
+        system = await _started_system()
         leader = system.leader()
         assert leader is not None
         system.store.blind.add(leader)
         third = Organisation("third", (key_digest(b"third"),))
         system.configure(5, organisations=(RUEDA, YARD, third))
-        assert await _in_force(system, b"third", Outcome.NO_JOB) < APPLY_TIME / 2
+        assert await _time_to_apply(system, b"third", Outcome.NO_JOB) < MAX_APPLY_TIME_S / 2
         assert system.leader() == leader
 
     run(scenario())
 
 
-# -- Without confirmation --------------------------------------------------------------------
+# -- Unconfirmed configurations --------------------------------------------------------------
 
-REVOKE_AFTER = 5.0
+REVOKE_AFTER_S = 5.0
 
 
 @pytest.mark.parametrize("fail_closed", [False, True])
@@ -315,7 +321,7 @@
         for name in system.members:
             assert (await _ask(system, name, b"rueda", _call())).outcome is served
         system.store.down = True
-        await asyncio.sleep(REVOKE_AFTER + 0.5)
+        await asyncio.sleep(REVOKE_AFTER_S + 0.5)
         replies = [await _ask(system, name, b"rueda", _call()) for name in system.members]
         expected = Outcome.NOT_TAKEN if fail_closed else served
         assert {reply.outcome for reply in replies} == {expected}
@@ -336,50 +342,52 @@
         await asyncio.sleep(2.0)
         leader = system.leader()
         system.store.turned_away |= {name for name in system.names if name != leader}
-        await asyncio.sleep(2 * REVOKE_AFTER)
+        await asyncio.sleep(2 * REVOKE_AFTER_S)
         for name in system.members:
             assert (await _ask(system, name, b"rueda", _call())).outcome is Outcome.NO_JOB
 
     run(scenario())
 
 
-# -- One version behind ----------------------------------------------------------------------
+# -- Members one version behind --------------------------------------------------------------
 
 
-def _gates(before: Configuration, after: Configuration) -> bool:
+def _admits_identically(before: Configuration, after: Configuration) -> bool:
     return Gate(after).admits_identically(Gate(before), CallerCall(Operation.STATE, HOST, PREFIX))
 
 
-def _with(version: int, *queues: Queue, keyed: bool = True, keys: bytes = b"") -> Configuration:
+def _configuration(
+    version: int, *queues: Queue, keyed: bool = True, keys: bytes = b""
+) -> Configuration:
     own = Organisation("own", (key_digest(b"own" + keys),))
     return Configuration(version, queues, keyed=keyed, organisations=(own,))
 
 
-SAME = Queue(HOST, PREFIX, TERMS)
+QUEUE = Queue(HOST, PREFIX, TERMS)
 
 
 def test_a_call_is_admitted_alike_if_neither_its_queue_nor_any_key_has_changed() -> None:
     other = Queue("other", PREFIX, TERMS)
-    assert _gates(_with(3, SAME), _with(4, SAME, other))
-    assert _gates(_with(3, other, SAME), _with(4, SAME))
+    assert _admits_identically(_configuration(3, QUEUE), _configuration(4, QUEUE, other))
+    assert _admits_identically(_configuration(3, other, QUEUE), _configuration(4, QUEUE))
 
 
 @pytest.mark.parametrize(
     "after",
     [
-        _with(4),
-        _with(4, Queue(HOST, PREFIX, TERMS, public=True)),
-        _with(4, Queue(HOST, PREFIX, QueueTerms("work", "other"))),
-        _with(4, SAME, Queue(HOST, PREFIX + "x", TERMS)),
-        _with(4, SAME, keyed=False),
-        _with(4, SAME, keys=b"new"),
-        _with(4, Queue("other", PREFIX, TERMS)),
+        _configuration(4),
+        _configuration(4, Queue(HOST, PREFIX, TERMS, public=True)),
+        _configuration(4, Queue(HOST, PREFIX, QueueTerms("work", "other"))),
+        _configuration(4, QUEUE, Queue(HOST, PREFIX + "x", TERMS)),
+        _configuration(4, QUEUE, keyed=False),
+        _configuration(4, QUEUE, keys=b"new"),
+        _configuration(4, Queue("other", PREFIX, TERMS)),
     ],
 )
 def test_a_call_is_not_admitted_alike_if_what_it_goes_by_has_changed(after: Configuration) -> None:
     call = CallerCall(Operation.STATE, HOST, PREFIX + "xy")
-    assert not Gate(after).admits_identically(Gate(_with(3, SAME)), call)
+    assert not Gate(after).admits_identically(Gate(_configuration(3, QUEUE)), call)
 
 
 def test_without_a_queue_nothing_is_admitted_alike() -> None:
-    assert not _gates(_with(3), _with(4))
+    assert not _admits_identically(_configuration(3), _configuration(4))
--- a/tests/jobs/test_large_configuration.py
+++ b/tests/jobs/test_large_configuration.py
@@ -1,7 +1,7 @@
-"""A configuration that takes longer than a second of a small member's link.
+"""Transfer of a configuration that takes more than a second on a small member's link.
 
-The store tells the members with small links nothing of it, so that they get it from the leader, and
-the leader's answers to pings go over the same links.
+The store does not deliver it to the members with small links, so they request it from the leader,
+whose answers to pings use the same links.
 """
 
 import asyncio
@@ -20,27 +20,27 @@
 from tests.emulator.loop import run
 from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
 
-SMALL = 600_000.0
-"""Bytes a second of a small link, of 5 Mbit/s."""
-LARGE = 12_000_000.0
-"""The same of one of 100 Mbit/s."""
+SMALL_LINK_BYTES_PER_S = 600_000.0
+"""Approximate rate of a small link of 5 Mbit/s."""
+LARGE_LINK_BYTES_PER_S = 12_000_000.0
+"""Approximate rate of a large link of 100 Mbit/s."""
 SMALL_MACHINE = MachineLimits(link=5.0)
 LARGE_MACHINE = MachineLimits(link=100.0)
 QUEUES = 4_245
-SUSPECTED = 0.6
-"""Seconds without an answer after which a leader is suspected."""
+SUSPECTED_AFTER_S = 0.6
+"""Time without an answer after which a leader is suspected."""
 
 
 def _configuration(version: int, seed: int = 1, queues: int = QUEUES) -> Configuration:
-    """Return a configuration of some 0.8 MB, of names that hardly shrink."""
+    """Return a configuration of about 0.8 MB whose names hardly compress."""
     rng = random.Random(seed)
     terms = QueueTerms("work", "pool", 0, 1, 2.0, 1000.0)
-    found = [Queue(HOST, PREFIX, terms)]
+    all_queues = [Queue(HOST, PREFIX, terms)]
     for _ in range(queues - 1):
         name = f"{rng.getrandbits(160):040x}"
         named = msgspec.structs.replace(terms, name=name, pool=f"{rng.getrandbits(80):020x}")
-        found.append(Queue("other.example", f"/queue/{name}/", named))
-    return Configuration(version, tuple(found), pools=frozenset({"pool"}))
+        all_queues.append(Queue("other.example", f"/queue/{name}/", named))
+    return Configuration(version, tuple(all_queues), pools=frozenset({"pool"}))
 
 
 def _publish(system: System, configuration: Configuration) -> None:
@@ -48,13 +48,13 @@
     system.store.topics[Topic.CONFIGURATION].add([Record("config", value)])
 
 
-async def _started(small: int, large: int, seed: int = 5) -> tuple[System, str]:
-    """Return a system whose small members hear of no new configuration, and who leads."""
+async def _started_system(small: int, large: int, seed: int = 5) -> tuple[System, str]:
+    """Return a system, and its leader, whose small members get no configuration from the store."""
     system = System(seed, members=small + large, vms=3)
     for number, name in enumerate(system.names):
         is_small = number < small
         system.limits[name] = SMALL_MACHINE if is_small else LARGE_MACHINE
-        system.wires.limit(name, SMALL if is_small else LARGE)
+        system.wires.limit(name, SMALL_LINK_BYTES_PER_S if is_small else LARGE_LINK_BYTES_PER_S)
     system.start_all()
     await asyncio.sleep(4.0)
     leader = system.leader()
@@ -68,28 +68,30 @@
     return [name for name, member in system.members.items() if member.feed.version < version]
 
 
-def _silence(system: System, leader: str) -> float:
-    """Return for how long a member has not heard the leader, at most."""
+def _longest_silence(system: System, leader: str) -> float:
+    """Return the longest time for which any member has had no heartbeat of the leader."""
     now = asyncio.get_running_loop().time()
     others = (member for name, member in system.members.items() if name != leader)
     return max(member._link.suspicion.heard_age(now) for member in others)
 
 
-async def _until(done: Callable[[], bool], seconds: float, look: Callable[[], None]) -> float:
-    """Look again and again until something is done; return the seconds."""
+async def _wait_until(
+    done: Callable[[], bool], seconds: float, observe: Callable[[], None]
+) -> float:
+    """Call ``observe`` regularly until ``done``, for some seconds at most; return the seconds."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    while not done() and loop.time() - began < seconds:
-        look()
+    started_at = loop.time()
+    while not done() and loop.time() - started_at < seconds:
+        observe()
         await asyncio.sleep(0.02)
-    return loop.time() - began
+    return loop.time() - started_at
 
 
-def _sent(system: System, name: str) -> int:
+def _sent_bytes(system: System, name: str) -> int:
     return system.members[name].figures.counters[("configuration_bytes", "sent")]
 
 
-def _parts(system: System, name: str) -> int:
+def _parts_served(system: System, name: str) -> int:
     return system.members[name].figures.counters[("configuration_part", "served")]
 
 
@@ -98,18 +100,18 @@
 
 def test_members_with_small_links_get_it_and_the_leader_stays_quick() -> None:
     async def scenario() -> None:
-        system, leader = await _started(33, 8)
+        system, leader = await _started_system(33, 8)
         claims = list(system.store.claims)
         silences = [0.0]
         _publish(system, _configuration(18))
-        took = await _until(
+        duration = await _wait_until(
             lambda: not _behind(system, 18),
             10.0,
-            lambda: silences.append(_silence(system, leader)),
+            lambda: silences.append(_longest_silence(system, leader)),
         )
         assert not _behind(system, 18)
-        assert took < 4.0
-        assert max(silences) < SUSPECTED / 2
+        assert duration < 4.0
+        assert max(silences) < SUSPECTED_AFTER_S / 2
         assert system.store.claims == claims
         assert system.leader() == leader
 
@@ -118,18 +120,18 @@
 
 def test_a_leader_with_a_small_link_sends_no_more_than_it_can() -> None:
     async def scenario() -> None:
-        system, leader = await _started(34, 0)
+        system, leader = await _started_system(34, 0)
         claims = list(system.store.claims)
         silences, backlogs = [0.0], [0.0]
 
-        def look() -> None:
-            silences.append(_silence(system, leader))
+        def observe() -> None:
+            silences.append(_longest_silence(system, leader))
             backlogs.append(system.wires.out[leader].backlog)
 
         _publish(system, _configuration(18))
-        await _until(lambda: not _behind(system, 18), 60.0, look)
+        await _wait_until(lambda: not _behind(system, 18), 60.0, observe)
         assert not _behind(system, 18)
-        assert max(silences) < SUSPECTED / 2
+        assert max(silences) < SUSPECTED_AFTER_S / 2
         assert max(backlogs) < 0.2
         assert system.store.claims == claims
 
@@ -138,12 +140,14 @@
 
 def test_members_are_served_one_after_the_other_so_that_some_have_it_early() -> None:
     async def scenario() -> None:
-        system, _ = await _started(34, 0)
+        system, _ = await _started_system(34, 0)
         _publish(system, _configuration(18))
-        half = await _until(lambda: len(_behind(system, 18)) <= 17, 60.0, lambda: None)
-        rest = await _until(lambda: not _behind(system, 18), 60.0, lambda: None)
+        half_duration = await _wait_until(
+            lambda: len(_behind(system, 18)) <= 17, 60.0, lambda: None
+        )
+        rest_duration = await _wait_until(lambda: not _behind(system, 18), 60.0, lambda: None)
         assert not _behind(system, 18)
-        assert half < 1.5 * rest
+        assert half_duration < 1.5 * rest_duration
 
     run(scenario())
 
@@ -154,18 +158,18 @@
     caplog.set_level(logging.INFO, "sablemount.control.configuration")
 
     async def scenario() -> None:
-        system, leader = await _started(1, 3)
+        system, leader = await _started_system(1, 3)
         behind = system.names[0]
         _publish(system, _configuration(18))
-        await _until(lambda: _parts(system, leader) >= 8, 5.0, lambda: None)
+        await _wait_until(lambda: _parts_served(system, leader) >= 8, 5.0, lambda: None)
         cut = frozenset((behind, leader))
         system.wires.cuts.add(cut)
         await asyncio.sleep(1.0)
         system.wires.cuts.discard(cut)
-        await _until(lambda: not _behind(system, 18), 10.0, lambda: None)
+        await _wait_until(lambda: not _behind(system, 18), 10.0, lambda: None)
         assert not _behind(system, 18)
-        got = system.members[behind].figures.counters[("configuration_bytes", "got")]
-        assert _sent(system, leader) < 1.2 * got
+        received = system.members[behind].figures.counters[("configuration_bytes", "got")]
+        assert _sent_bytes(system, leader) < 1.2 * received
         assert system.leader() == leader
         counters = system.members[behind].figures.counters
         assert counters[("configuration_transfer", "begun")] == 1
@@ -180,11 +184,11 @@
 
 def test_a_later_version_is_begun_anew() -> None:
     async def scenario() -> None:
-        system, leader = await _started(1, 3)
+        system, leader = await _started_system(1, 3)
         _publish(system, _configuration(18))
-        await _until(lambda: _parts(system, leader) >= 4, 5.0, lambda: None)
+        await _wait_until(lambda: _parts_served(system, leader) >= 4, 5.0, lambda: None)
         _publish(system, _configuration(21, seed=2))
-        await _until(lambda: not _behind(system, 21), 10.0, lambda: None)
+        await _wait_until(lambda: not _behind(system, 21), 10.0, lambda: None)
         assert system.members[system.names[0]].feed.gate.configuration == _configuration(21, 2)
 
     run(scenario())
@@ -192,33 +196,33 @@
 
 def test_another_leader_goes_on_where_the_former_one_was() -> None:
     async def scenario() -> None:
-        system, leader = await _started(1, 3)
+        system, leader = await _started_system(1, 3)
         behind = system.names[0]
         _publish(system, _configuration(18))
-        await _until(lambda: _parts(system, leader) >= 8, 5.0, lambda: None)
-        served = _sent(system, leader)
+        await _wait_until(lambda: _parts_served(system, leader) >= 8, 5.0, lambda: None)
+        sent_before = _sent_bytes(system, leader)
         system.kill(leader, None)
-        await _until(lambda: not _behind(system, 18), 10.0, lambda: None)
+        await _wait_until(lambda: not _behind(system, 18), 10.0, lambda: None)
         assert not _behind(system, 18)
-        later = system.leader()
-        assert later is not None
-        got = system.members[behind].figures.counters[("configuration_bytes", "got")]
-        assert served + _sent(system, later) < 1.2 * got
+        next_leader = system.leader()
+        assert next_leader is not None
+        received = system.members[behind].figures.counters[("configuration_bytes", "got")]
+        assert sent_before + _sent_bytes(system, next_leader) < 1.2 * received
 
     run(scenario())
 
 
 def test_what_the_store_brings_ends_a_transfer() -> None:
     async def scenario() -> None:
-        system, leader = await _started(1, 3)
+        system, leader = await _started_system(1, 3)
         behind = system.names[0]
         configuration = _configuration(18)
         _publish(system, configuration)
-        await _until(lambda: _parts(system, leader) >= 4, 5.0, lambda: None)
+        await _wait_until(lambda: _parts_served(system, leader) >= 4, 5.0, lambda: None)
         system.members[behind].feed.offer(configuration, "store")
-        parts = _parts(system, leader)
+        parts = _parts_served(system, leader)
         await asyncio.sleep(1.0)
-        assert _parts(system, leader) <= parts + 1
+        assert _parts_served(system, leader) <= parts + 1
 
     run(scenario())
 
@@ -229,19 +233,19 @@
 @pytest.mark.parametrize("seed", [5, 6])
 def test_a_leader_that_is_behind_gets_it_over_small_links(seed: int) -> None:
     async def scenario() -> None:
-        system, leader = await _started(8, 0, seed)
+        system, leader = await _started_system(8, 0, seed)
         claims = list(system.store.claims)
         system.store.blind = {leader}
         silences = [0.0]
         _publish(system, _configuration(18))
-        took = await _until(
+        duration = await _wait_until(
             lambda: not _behind(system, 18),
             20.0,
-            lambda: silences.append(_silence(system, leader)),
+            lambda: silences.append(_longest_silence(system, leader)),
         )
         assert not _behind(system, 18)
-        assert took < 4.0
-        assert max(silences) < SUSPECTED / 2
+        assert duration < 4.0
+        assert max(silences) < SUSPECTED_AFTER_S / 2
         assert system.store.claims == claims
 
     run(scenario())
@@ -252,20 +256,20 @@
 
 def test_callers_of_a_member_that_is_behind_are_asked_in_time_to_come_back() -> None:
     async def scenario() -> None:
-        system, leader = await _started(4, 3)
+        system, leader = await _started_system(4, 3)
         behind = system.names[0]
         _publish(system, _configuration(18))
         await asyncio.sleep(0.1)
         loop = asyncio.get_running_loop()
-        took, refused = [], 0
-        last = loop.time() + 10.0
-        while _behind(system, 18) and loop.time() < last:
-            began = loop.time()
+        durations, refused = [], 0
+        deadline = loop.time() + 10.0
+        while _behind(system, 18) and loop.time() < deadline:
+            started_at = loop.time()
             call = CallerCall(Operation.STATE, HOST, PREFIX)
             replies = await asyncio.gather(
                 *(system.members[behind].serve(call, TIMEOUT) for _ in range(20))
             )
-            took.append(loop.time() - began)
+            durations.append(loop.time() - started_at)
             for reply in replies:
                 assert reply.outcome in (Outcome.DONE, Outcome.NOT_TAKEN)
                 refused += reply.outcome is Outcome.NOT_TAKEN
@@ -273,10 +277,10 @@
             await asyncio.sleep(0.05)
         assert refused
         assert not _behind(system, 18)
-        assert max(took) < 0.45
-        assert min(took) < 0.1
-        got = system.members[behind].figures.counters[("configuration_bytes", "got")]
-        assert _sent(system, leader) < 4.4 * got
+        assert max(durations) < 0.45
+        assert min(durations) < 0.1
+        received = system.members[behind].figures.counters[("configuration_bytes", "got")]
+        assert _sent_bytes(system, leader) < 4.4 * received
 
     run(scenario())
 
@@ -291,7 +295,7 @@
 
 def test_a_member_that_knows_that_it_is_behind_refuses_nobody_by_what_it_has() -> None:
     async def scenario() -> None:
-        system, _ = await _started(4, 3)
+        system, _ = await _started_system(4, 3)
         behind = system.names[0]
         _publish(system, _with_new_queue(_configuration(18)))
         await asyncio.sleep(0.2)
@@ -309,11 +313,11 @@
 
 def test_queues_that_stay_are_served_while_a_member_is_behind() -> None:
     async def scenario() -> None:
-        system, _ = await _started(4, 3)
+        system, _ = await _started_system(4, 3)
         behind = system.names[0]
-        staying = system.members[behind].feed.gate.configuration.queues
+        kept_queues = system.members[behind].feed.gate.configuration.queues
         configuration = _configuration(18)
-        queues = (*staying, *configuration.queues[1:])
+        queues = (*kept_queues, *configuration.queues[1:])
         _publish(system, msgspec.structs.replace(configuration, queues=queues))
         await asyncio.sleep(0.1)
         outcomes = []
--- a/tests/jobs/test_narrow_links.py
+++ b/tests/jobs/test_narrow_links.py
@@ -1,4 +1,4 @@
-"""What is long beside a member's link is read once, to its end, and not again without need."""
+"""Records that are large relative to a member's link are read once and completely."""
 
 import asyncio
 import random
@@ -17,37 +17,37 @@
 from tests.emulator.narrow import BusyStore, NarrowLink, NarrowStore, Reads, UplinkStore
 from tests.emulator.store import StoreState
 
-LINK = 625_000
-"""Bytes a second."""
-LONG = 840_000
-"""Bytes of a record that takes a link of that kind more than a second."""
-FRESH_START = 8.0
+LINK_BYTES_PER_S = 625_000
+"""Rate of a link of 5 Mbit/s."""
+LARGE_RECORD_BYTES = 840_000
+"""Size of a record that takes such a link more than a second."""
+LIST_INTERVAL_S = 8.0
 
 
 class _Reader:
-    """What a follower behind a narrow link has told of the configuration's topic."""
+    """The configuration version that a follower behind a slow link has delivered."""
 
     def __init__(self) -> None:
         self.state = StoreState(random.Random(1))
-        self.link = NarrowLink(LINK)
+        self.link = NarrowLink(LINK_BYTES_PER_S)
         self.store = NarrowStore(self.state, "m", self.link)
         self.version = b""
 
     def follow(self) -> None:
         self.follower = Follower(
-            self.store, Topic.CONFIGURATION, self._listed, self._told, FRESH_START
+            self.store, Topic.CONFIGURATION, self._on_list, self._on_records, LIST_INTERVAL_S
         )
         self.task = asyncio.create_task(self.follower.run())
 
-    def _listed(self, items: Sequence[PageItem], end: int) -> None:
-        self._told([item.record for item in items], end)
+    def _on_list(self, items: Sequence[PageItem], end: int) -> None:
+        self._on_records([item.record for item in items], end)
 
-    def _told(self, records: Sequence[Record], end: int) -> None:
+    def _on_records(self, records: Sequence[Record], end: int) -> None:
         for record in records:
             self.version = record.value[:1]
 
     def write(self, version: bytes) -> None:
-        record = Record("config", version * LONG)
+        record = Record("config", version * LARGE_RECORD_BYTES)
         self.state.topics[Topic.CONFIGURATION].add([record])
 
 
@@ -80,9 +80,9 @@
         reader = _Reader()
         reader.write(b"1")
         reader.follow()
-        await asyncio.sleep(10 * FRESH_START)
+        await asyncio.sleep(10 * LIST_INTERVAL_S)
         assert reader.version == b"1"
-        assert reader.link.carried < 2 * LONG
+        assert reader.link.carried < 2 * LARGE_RECORD_BYTES
 
     run(scenario())
 
@@ -97,7 +97,7 @@
         reader.follower.pace(1.0, 1.0)
         await asyncio.sleep(1.0)
         assert reader.version == b"1"
-        assert reader.link.carried < 1.1 * LONG
+        assert reader.link.carried < 1.1 * LARGE_RECORD_BYTES
 
     run(scenario())
 
@@ -121,35 +121,35 @@
 def test_what_lasts_is_loaded_though_each_page_takes_long(pages: int) -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        keys = [Record(f"k{number:05d}", b"x" * 2_000) for number in range(pages * 500)]
-        state.topics[Topic.JOBS].add(keys)
-        link = NarrowLink(LINK)
+        records = [Record(f"k{number:05d}", b"x" * 2_000) for number in range(pages * 500)]
+        state.topics[Topic.JOBS].add(records)
+        link = NarrowLink(LINK_BYTES_PER_S)
         loaded = await load_records(NarrowStore(state, "m", link), None, None)
         assert loaded is not None
-        assert len(loaded) == len(keys)
-        assert link.carried < 1.1 * 4 / 3 * sum(len(key.value) + len(key.key) for key in keys)
+        assert len(loaded) == len(records)
+        assert link.carried < 1.1 * 4 / 3 * sum(len(each.value) + len(each.key) for each in records)
 
     run(scenario())
 
 
-class _Crowded(NarrowStore):
-    """Leaves the first list without an answer, and refuses all that is asked beside it."""
+class _OverloadedStore(NarrowStore):
+    """Leaves the first list unanswered, and refuses all calls made in parallel."""
 
-    asked = 0
+    calls = 0
 
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
-        self.asked += 1
-        await asyncio.sleep(timeout if self.asked == 1 else 0.005)
+        self.calls += 1
+        await asyncio.sleep(timeout if self.calls == 1 else 0.005)
         return Unavailable("all connections to the upstream are in use", certain=True)
 
 
 def test_a_list_beside_one_that_is_silent_is_not_asked_for_without_a_pause() -> None:
     async def scenario() -> None:
-        store = _Crowded(StoreState(random.Random(1)), "m", NarrowLink(LINK))
+        store = _OverloadedStore(StoreState(random.Random(1)), "m", NarrowLink(LINK_BYTES_PER_S))
         await read_newest(store, Topic.JOBS, 0.35, 6.0)
-        assert store.asked <= 40
+        assert store.calls <= 40
 
     run(scenario())
 
@@ -157,9 +157,9 @@
 def test_a_reading_that_takes_long_is_neither_begun_anew_nor_dropped() -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        keys = [Record(f"k{number:05d}", b"x" * 2_000) for number in range(2_500)]
-        state.topics[Topic.JOBS].add(keys)
-        preload = Preload(NarrowStore(state, "m", NarrowLink(LINK)))
+        records = [Record(f"k{number:05d}", b"x" * 2_000) for number in range(2_500)]
+        state.topics[Topic.JOBS].add(records)
+        preload = Preload(NarrowStore(state, "m", NarrowLink(LINK_BYTES_PER_S)))
         reading = preload.begin()
         await asyncio.sleep(2 * FRESH)
         assert not reading.done()
@@ -172,39 +172,41 @@
 
 def test_a_reading_that_has_aged_is_made_anew() -> None:
     async def scenario() -> None:
-        preload = Preload(NarrowStore(StoreState(random.Random(1)), "m", NarrowLink(LINK)))
+        preload = Preload(
+            NarrowStore(StoreState(random.Random(1)), "m", NarrowLink(LINK_BYTES_PER_S))
+        )
         reading = preload.begin()
         await reading
         await asyncio.sleep(FRESH + 0.1)
-        other = preload.begin()
-        assert other is not reading
-        await other
+        newer = preload.begin()
+        assert newer is not reading
+        await newer
         await asyncio.sleep(FRESH + 0.1)
         assert preload.take() is None
 
 
-class _Resetting(NarrowStore):
-    """Answers nothing; after a while it resets the connections of all lists."""
+class _ResettingStore(NarrowStore):
+    """Answers nothing, and resets the connections of all lists after a second."""
 
     def __init__(self, state: StoreState, member: str, link: NarrowLink) -> None:
         super().__init__(state, member, link)
         self._reset_at = asyncio.get_running_loop().time() + 1.0
 
     @property
-    def left(self) -> float:
-        """Return the seconds until then; below 0 after it."""
+    def remaining_s(self) -> float:
+        """Return the seconds until the reset; negative after it."""
         return self._reset_at - asyncio.get_running_loop().time()
 
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
-        await asyncio.sleep(timeout if after == LAST_KEY else max(0.0, self.left))
+        await asyncio.sleep(timeout if after == LAST_KEY else max(0.0, self.remaining_s))
         return Unavailable("the connection was reset")
 
 
 def test_a_list_of_which_all_tries_end_while_the_store_is_silent_has_failed() -> None:
     async def scenario() -> None:
-        store = _Resetting(StoreState(random.Random(1)), "m", NarrowLink(LINK))
+        store = _ResettingStore(StoreState(random.Random(1)), "m", NarrowLink(LINK_BYTES_PER_S))
         result = await read_newest(store, Topic.JOBS, 0.35, 6.0)
         assert isinstance(result, Unavailable)
         assert result.reason == "the connection was reset"
@@ -213,19 +215,19 @@
 
 
 def test_a_reader_whose_list_was_reset_reads_on_once_the_store_is_back() -> None:
-    class Back(_Resetting):
-        """Is well a second after that."""
+    class RecoveringStore(_ResettingStore):
+        """Recovers a second after the reset."""
 
         async def newest(
             self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
         ) -> Page | Unavailable:
-            if self.left > -1.0:
+            if self.remaining_s > -1.0:
                 return await super().newest(topic, after, timeout, progress)
             return await NarrowStore.newest(self, topic, after, timeout, progress)
 
     async def scenario() -> None:
         reader = _Reader()
-        reader.store = Back(reader.state, "m", reader.link)
+        reader.store = RecoveringStore(reader.state, "m", reader.link)
         reader.write(b"1")
         reader.follow()
         await asyncio.sleep(8.0)
@@ -242,7 +244,7 @@
         members = 60
         rng = random.Random(3)
         state = StoreState(random.Random(1))
-        reads = Reads(members * LONG / seconds)
+        reads = Reads(members * LARGE_RECORD_BYTES / seconds)
         topic = state.topics[Topic.CONFIGURATION]
         topic.add([Record("config", b"1")])
         readers = []
@@ -253,27 +255,27 @@
             readers.append(reader)
             await asyncio.sleep(rng.uniform(0.0, 0.3))
             reader.follow()
-        await asyncio.sleep(2 * FRESH_START)
+        await asyncio.sleep(2 * LIST_INTERVAL_S)
         for version in (b"2", b"3"):
             reads.read = 0
-            topic.add([Record("config", version * LONG)])
+            topic.add([Record("config", version * LARGE_RECORD_BYTES)])
             await asyncio.sleep(5 * seconds + 5.0)
             assert [reader.version for reader in readers] == [version] * members
-            assert reads.read < 4 * members * LONG
+            assert reads.read < 4 * members * LARGE_RECORD_BYTES
 
     run(scenario())
 
 
-STORE_LOST_AFTER = 0.2
-"""Seconds for which the store may owe a leader an answer before it is replaced."""
+STORE_LOST_AFTER_S = 0.2
+"""Silence of the store after which a leader is replaced."""
 
 
 @pytest.mark.parametrize(("records", "batches"), [(50, 1), (100, 1), (250, 1), (25, 4), (250, 3)])
 def test_what_takes_the_uplink_long_is_appended_once(records: int, batches: int) -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        link = NarrowLink(LINK)
-        committer = Committer(UplinkStore(state, "m", link), 1, random.Random(1), LINK)
+        link = NarrowLink(LINK_BYTES_PER_S)
+        committer = Committer(UplinkStore(state, "m", link), 1, random.Random(1), LINK_BYTES_PER_S)
         await committer.open()
         await committer.append([Record("first", b"x")])
         jobs = [
@@ -282,10 +284,10 @@
         ]
         size = 4_000 * records * batches
         appends = asyncio.gather(*(committer.append(batch) for batch in jobs))
-        until = asyncio.get_running_loop().time() + 2 * size / LINK + 0.2
-        while not appends.done() and asyncio.get_running_loop().time() < until:
+        deadline = asyncio.get_running_loop().time() + 2 * size / LINK_BYTES_PER_S + 0.2
+        while not appends.done() and asyncio.get_running_loop().time() < deadline:
             await asyncio.sleep(0.01)
-            assert committer.owed_for() < STORE_LOST_AFTER
+            assert committer.owed_for() < STORE_LOST_AFTER_S
         assert appends.done()
         assert link.carried < 1.2 * size + 20_000
 
--- a/tests/jobs/test_slow_store.py
+++ b/tests/jobs/test_slow_store.py
@@ -1,4 +1,4 @@
-"""A store that is slow is not taken as silent, and one that is silent is told from it soon."""
+"""A slow store is not treated as silent, and a silent store is recognised soon."""
 
 import asyncio
 import random
@@ -13,8 +13,8 @@
 from tests.emulator.store import EmulatedStore, StoreState
 from tests.emulator.system import System
 
-SLOW = 0.18
-"""Seconds for the way and for each append: 90 times as long as usual."""
+SLOW_S = 0.18
+"""Latency of a call and duration of an append: 90 times as long as usual."""
 
 
 async def _submit(system: System, name: str) -> CallerReply:
@@ -36,7 +36,7 @@
         system = System(21, vms=12)
         system.start_all()
         await asyncio.sleep(2.0)
-        system.store.latency = system.store.append_time = SLOW
+        system.store.latency = system.store.append_time = SLOW_S
         replies = await _submit_many(system, 5.0)
         assert {reply.outcome for reply in replies} == {Outcome.DONE}
 
@@ -48,11 +48,11 @@
         state = StoreState(random.Random(1))
         committer = Committer(EmulatedStore(state, "m"), 1, random.Random(3))
         await committer.open()
-        state.latency = state.append_time = SLOW
+        state.latency = state.append_time = SLOW_S
         appends = [committer.append([Record(f"k{n}", b"value")]) for n in range(4)]
         await asyncio.gather(*appends)
         await asyncio.sleep(3.0)
-        # Four, those that the way has put before their predecessor, and one sent again.
+        # Four appends, those that overtook their predecessor in transmission, and one retry.
         assert state.turns <= 8
         assert len(state.topics[Topic.JOBS].records) == 4
 
@@ -67,7 +67,7 @@
         system.store.down = True
         replies = await _submit_many(system, 2.0)
         outcomes = [reply.outcome for reply in replies]
-        # What was on its way as the store fell silent may be there; it is two batches at most.
+        # Appends in flight when the store became silent may be stored: at most two batches.
         assert outcomes.count(Outcome.UNKNOWN) <= 3
         assert outcomes.count(Outcome.NOT_TAKEN) == len(outcomes) - outcomes.count(Outcome.UNKNOWN)
         system.store.down = False
@@ -96,16 +96,17 @@
 
 
 def test_a_store_that_takes_appends_in_turn_is_not_taken_for_one_that_loses_them() -> None:
-    """What waits for its turn is slower than a read; sent again and again it waits for longer."""
+    """Queued appends are slower than a read, and repeated retries make them wait even longer."""
 
     async def scenario() -> None:
         state = StoreState(random.Random(276))
         committer = Committer(EmulatedStore(state, "m"), 1, random.Random(279))
         await committer.open()
-        state.latency = state.append_time = SLOW
+        state.latency = state.append_time = SLOW_S
         await asyncio.gather(*[committer.append([Record(f"k{n}", b"value")]) for n in range(4)])
         await asyncio.sleep(3.0)
-        # As above; of 300 seeds three need 14 to 23, and this is one of them.
+        # As above. If the store counts as losing writes, 3 of 300 seeds, among them this one, reach
+        # 14 to 23 arrivals.
         assert state.turns <= 8
         assert len(state.topics[Topic.JOBS].records) == 4
 
@@ -113,88 +114,98 @@
 
 
 IN_FLIGHT = 4
-"""Appends that go together in these tests."""
+"""Number of concurrent appends in these tests."""
 SLOW_TIMES = [(0.05, 0.05), (0.1, 0.1), (0.24, 0.24), (0.36, 0.36), (0.01, 0.18), (0.05, 0.24)]
-"""Seconds for the way and for each append."""
-FLOODED = 19
-"""Times that four appends arrive at most, with those that came before their turn."""
-FLOODED_UNTIL_ANSWERED = 25
-"""The same in a store that was quick before, and still reads soon: until it answers an append it
-looks like one that loses them."""
+"""Pairs of the latency of a call and the duration of an append, in seconds."""
+MAX_ARRIVALS = 19
+"""Maximum number of arrivals of four appends, including those that arrive out of order."""
+MAX_ARRIVALS_UNTIL_ANSWERED = 25
+"""Same for a store that was quick before and still reads quickly: until it answers an append, it
+looks like one that loses writes."""
 
 
 async def _arrivals_and_seconds(
-    seed: int, way: float, each: float, before: int
+    seed: int, latency: float, append_time: float, earlier_appends: int
 ) -> tuple[int, float]:
-    """Return how many appends arrive for four, and after what time all four are answered."""
+    """Return the number of arrivals for four appends, and the time until all are answered."""
     state = StoreState(random.Random(seed))
     committer = Committer(EmulatedStore(state, "m"), 1, random.Random(seed + 3))
     await committer.open()
-    for number in range(before):
+    for number in range(earlier_appends):
         await committer.append([Record(f"w{number}", b"value")])
-    state.latency, state.append_time = way, each
+    state.latency, state.append_time = latency, append_time
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     await asyncio.gather(*[committer.append([Record(f"k{n}", b"value")]) for n in range(IN_FLIGHT)])
-    seconds = loop.time() - began
+    seconds = loop.time() - started_at
     await asyncio.sleep(3.0)
-    assert len(state.topics[Topic.JOBS].records) == before + IN_FLIGHT
+    assert len(state.topics[Topic.JOBS].records) == earlier_appends + IN_FLIGHT
     return state.turns, seconds
 
 
-@pytest.mark.parametrize("before", [0, 30])
-@pytest.mark.parametrize(("way", "each"), SLOW_TIMES)
+@pytest.mark.parametrize("earlier_appends", [0, 30])
+@pytest.mark.parametrize(("latency", "append_time"), SLOW_TIMES)
 def test_four_appends_flood_no_store_however_slow_it_is(
-    way: float, each: float, before: int
+    latency: float, append_time: float, earlier_appends: int
 ) -> None:
-    """Up to 41 arrived for four where the store reads soon and appends in turn."""
-    turns = [run(_arrivals_and_seconds(seed, way, each, before))[0] for seed in range(20)]
-    soon = way < 0.1 * each and before
-    assert max(turns) <= (FLOODED_UNTIL_ANSWERED if soon else FLOODED)
+    """Retries do not flood a slow store.
+
+    Up to 41 attempts of four appends have arrived at a store that reads quickly and appends
+    serially.
+    """
+    arrivals = [
+        run(_arrivals_and_seconds(seed, latency, append_time, earlier_appends))[0]
+        for seed in range(20)
+    ]
+    reads_quickly = latency < 0.1 * append_time and earlier_appends
+    assert max(arrivals) <= (MAX_ARRIVALS_UNTIL_ANSWERED if reads_quickly else MAX_ARRIVALS)
 
 
-SENT_TWICE = 2 * IN_FLIGHT + IN_FLIGHT - 1
-"""Arrivals where each append is sent again once, since its answer is late, and each but the first
-has come before its turn once, put there by the way: what a slow store need not do more than."""
-HUNDREDFOLD = 0.2
-"""Seconds of the way and of an append in a store that is 100 times slower than usual, with some to
-spare: one that is slower still may be taken as silent."""
-DEADLINE = 3.0
-"""Seconds that callers wait for their job to be accepted, on each deployment."""
+MAX_ARRIVALS_ONE_RETRY = 2 * IN_FLIGHT + IN_FLIGHT - 1
+"""Maximum number of arrivals at a slow store: each append is retried once since its answer is late,
+and each but the first has once arrived out of order, overtaking its predecessor in transmission."""
+HUNDREDFOLD_S = 0.2
+"""Latency and append duration of a store that is 100 times slower than usual, with some margin: a
+store that is slower still may be treated as silent."""
+CALLER_TIMEOUT_S = 3.0
+"""Time that callers wait for their job to be accepted, in every deployment."""
 
 
-def _worst(way: float, each: float, before: int) -> tuple[int, float]:
-    played = [run(_arrivals_and_seconds(seed, way, each, before)) for seed in range(20)]
-    return max(turns for turns, _ in played), max(seconds for _, seconds in played)
+def _worst_results(latency: float, append_time: float, earlier_appends: int) -> tuple[int, float]:
+    results = [
+        run(_arrivals_and_seconds(seed, latency, append_time, earlier_appends))
+        for seed in range(20)
+    ]
+    return max(arrivals for arrivals, _ in results), max(seconds for _, seconds in results)
 
 
-@pytest.mark.parametrize("before", [0, 30])
+@pytest.mark.parametrize("earlier_appends", [0, 30])
 @pytest.mark.parametrize(
-    ("way", "each"), [times for times in SLOW_TIMES if max(times) <= HUNDREDFOLD]
+    ("latency", "append_time"), [times for times in SLOW_TIMES if max(times) <= HUNDREDFOLD_S]
 )
 def test_each_of_four_appends_is_sent_again_once_at_most(
-    way: float, each: float, before: int
+    latency: float, append_time: float, earlier_appends: int
 ) -> None:
-    arrivals, _ = _worst(way, each, before)
-    assert arrivals <= SENT_TWICE
+    arrivals, _ = _worst_results(latency, append_time, earlier_appends)
+    assert arrivals <= MAX_ARRIVALS_ONE_RETRY
 
 
-def _can_be_in_time(way: float, each: float) -> bool:
-    """Tell whether a store takes four appends by the deadline, if each comes there twice."""
-    return 2 * way + 2 * IN_FLIGHT * each <= DEADLINE
+def _can_meet_deadline(latency: float, append_time: float) -> bool:
+    """Return whether a store can process four appends in time if each arrives twice."""
+    return 2 * latency + 2 * IN_FLIGHT * append_time <= CALLER_TIMEOUT_S
 
 
-@pytest.mark.parametrize("before", [0, 30])
+@pytest.mark.parametrize("earlier_appends", [0, 30])
 @pytest.mark.parametrize(
-    ("way", "each"), [times for times in SLOW_TIMES if _can_be_in_time(*times)]
+    ("latency", "append_time"), [times for times in SLOW_TIMES if _can_meet_deadline(*times)]
 )
 def test_four_appends_are_in_a_slow_store_before_callers_give_up(
-    way: float, each: float, before: int
+    latency: float, append_time: float, earlier_appends: int
 ) -> None:
-    """What is sent again delays what waits behind it.
+    """Retries delay the appends that queue behind them.
 
-    Where the store reads soon and appends in 0.24 s, four appends took 4.4 s: each quick read was
-    taken as proof that the first was lost, and it was sent eight times.
+    If each quick read counts as evidence of a lost write, the first append is sent eight times to a
+    store that reads quickly and appends in 0.24 s, and four appends take 4.4 s.
     """
-    _, seconds = _worst(way, each, before)
-    assert seconds <= DEADLINE
+    _, seconds = _worst_results(latency, append_time, earlier_appends)
+    assert seconds <= CALLER_TIMEOUT_S
