--- a/src/sablemount/control/lost_writes.py
+++ b/src/sablemount/control/lost_writes.py
@@ -111,10 +111,10 @@
 
     # -- Evidence ----------------------------------------------------------------------------
 
-    def record_done(self, answers: Iterable[Answer], others: Iterable[float]) -> None:
-        """Record that an append is complete while attempts sent at ``others`` are unanswered."""
-        last = monotonic() - self.overdue_after()
-        if self._any_quick(answers) and any(sent_at < last for sent_at in others):
+    def record_done(self, answers: Iterable[Answer], unanswered: Iterable[float]) -> None:
+        """Record that an append is complete while attempts sent at ``unanswered`` are open."""
+        overdue_since = monotonic() - self.overdue_after()
+        if self._any_quick(answers) and any(sent_at < overdue_since for sent_at in unanswered):
             self._mark_lossy()
             self._confirmed_until = self._lossy_until
 
