--- a/benchmarks/leading.py
+++ b/benchmarks/leading.py
@@ -18,7 +18,7 @@
 from sablemount.control.network import Link
 from sablemount.control.ports import HoldCall
 from sablemount.control.rpc import TcpNetwork
-from sablemount.control.vm_calls import HOLD_WAIT, LOOKS_A_SECOND, MOST_WAIT
+from sablemount.control.vm_calls import HOLD_WAIT_S, IDLE_POLLS_PER_S, MAX_HOLD_WAIT_S
 from sablemount.jobs.records import Record
 from sablemount.platform.directory import PlatformDirectory
 from sablemount.platform.workers import PlatformWorkers
@@ -65,7 +65,7 @@
 async def _looks() -> tuple[float, float]:
     """Return the processor seconds of a look over a new connection, and over one that is kept."""
     workers = PlatformWorkers(UpstreamPool(AT_ONCE, HEARTBEAT * ROUNDS))
-    call = HoldCall("a1b2c3", f"127.0.0.1:{PORT}", 1 << 32, 486_000, 57, HOLD_WAIT)
+    call = HoldCall("a1b2c3", f"127.0.0.1:{PORT}", 1 << 32, 486_000, 57, HOLD_WAIT_S)
     first = await _timed(AT_ONCE, lambda: workers.hold(call, 5.0))
     kept = [await _timed(AT_ONCE, lambda: workers.hold(call, 5.0)) for _ in range(ROUNDS)]
     return first, sum(kept) / ROUNDS
@@ -151,7 +151,7 @@
     )
     print("|---|---|---|---|---|---|---|---|")
     for vms, members in SIZES:
-        wait = min(MOST_WAIT, max(HOLD_WAIT, vms / LOOKS_A_SECOND))
+        wait = min(MAX_HOLD_WAIT_S, max(HOLD_WAIT_S, vms / IDLE_POLLS_PER_S))
         listed, size, entries = _list(vms)
         cells = (
             vms,
--- a/src/sablemount/control/advice_calls.py
+++ b/src/sablemount/control/advice_calls.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from sablemount.control.clock import monotonic
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.members import Members
 from sablemount.control.messages import AdviceReply, AdviseCall
 from sablemount.control.network import CallFailed
@@ -32,7 +32,7 @@
         advice: Advice,
         port: AdvicePort,
         members: Members,
-        metrics: Figures,
+        metrics: Metrics,
         wake: Callable[[], None],
     ) -> None:
         self._name = name
--- a/src/sablemount/control/caller_route.py
+++ b/src/sablemount/control/caller_route.py
@@ -7,7 +7,7 @@
 
 from sablemount.control.clock import monotonic
 from sablemount.control.configuration_feed import ConfigurationFeed
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.leader import Leader
 from sablemount.control.leader_link import LeaderLink
 from sablemount.control.member_settings import MemberSettings
@@ -25,7 +25,7 @@
 
 CALL_TIMEOUT_S = 2.0
 """Time-out of a request to the leader, below the 3 s that callers wait."""
-HAND_OVER_WAIT = 0.4
+LEADER_CHANGE_WAIT_S = 0.4
 """How long a request waits for a new leader: a leader that was killed is replaced within 0.3 to
 0.4 s, and a refused caller retries only after a second."""
 OUTAGE_AFTER_S = 0.5
@@ -55,7 +55,7 @@
         settings: MemberSettings,
         link: LeaderLink,
         feed: ConfigurationFeed,
-        metrics: Figures,
+        metrics: Metrics,
         leading: Callable[[], Leader | None],
         served_at: Callable[[], float],
     ) -> None:
@@ -84,10 +84,10 @@
         started_at = monotonic()
         uncertain = False
         while True:
-            await self._wait_for_leader(started_at + HAND_OVER_WAIT)
+            await self._wait_for_leader(started_at + LEADER_CHANGE_WAIT_S)
             reply = await self._attempt(call, timeout - (monotonic() - started_at), digest)
             uncertain = uncertain or reply.outcome is Outcome.UNKNOWN
-            limit = UNCERTAIN_WAIT_S if uncertain else HAND_OVER_WAIT
+            limit = UNCERTAIN_WAIT_S if uncertain else LEADER_CHANGE_WAIT_S
             if not reply.changing or monotonic() - started_at > limit:
                 break
             if not await self._feed.wait_for_version(
--- a/src/sablemount/control/callers.py
+++ b/src/sablemount/control/callers.py
@@ -19,7 +19,7 @@
 from sablemount.jobs.scheduler import JobScheduler, Submission
 from sablemount.jobs.tables import JobRow, JobState
 
-__all__ = ["Callers"]
+__all__ = ["CallerService"]
 
 ACCEPT_TIMEOUT_S = 1.5
 """Time after which a caller is answered that its job may have been accepted."""
@@ -33,7 +33,7 @@
 _logger = logging.getLogger("sablemount.control.callers")
 
 
-class Callers:
+class CallerService:
     """Answers callers' requests for one leadership.
 
     ``has_authority`` returns whether this process has the authority to lead, and ``confirmed``
@@ -121,7 +121,7 @@
             fault = fault or self._cap_fault(call.organisation, spec)
             if fault is not None:
                 return CallerReply(Outcome.INVALID, path=fault.path, reason=fault.reason)
-        if self._commits.stuck():
+        if self._commits.is_store_silent():
             refusal = _refusal_while_silent(known)
             if refusal is not None:
                 return refusal
@@ -138,11 +138,11 @@
         return None if organisation is None else cap_fault(spec, organisation.cap)
 
     async def _wait_for_acceptance(self, name: str, queue: Queue) -> CallerReply:
-        recorded = self._commits.noted()
+        recorded = self._commits.when_recorded()
         deadline = monotonic() + ACCEPT_TIMEOUT_S
         while not recorded.done() and monotonic() < deadline:
             await asyncio.wait([recorded], timeout=STORE_POLL_INTERVAL_S)
-            if self._commits.stuck() and self._scheduler.withdraw(name):
+            if self._commits.is_store_silent() and self._scheduler.withdraw(name):
                 return not_taken("the store does not answer")
         job = self._scheduler.state.jobs.get(name)
         if job is not None and job.durable:
@@ -170,7 +170,7 @@
             return self._no_job()
         self._kick()
         if job.shown is not JobState.CANCELLED and not job.shown.final:
-            await asyncio.wait([self._commits.noted()], timeout=ACCEPT_TIMEOUT_S)
+            await asyncio.wait([self._commits.when_recorded()], timeout=ACCEPT_TIMEOUT_S)
         if not job.shown.final:
             return self._unknown_outcome()
         _logger.info("job cancelled", extra={"job": name, "state": job.shown.name.lower()})
--- a/src/sablemount/control/commit.py
+++ b/src/sablemount/control/commit.py
@@ -19,7 +19,7 @@
 from sablemount.jobs.records import Record
 from sablemount.jobs.sizes import call_size
 
-__all__ = ["Committer", "GivenUp", "LostLeadership"]
+__all__ = ["Committer", "AppendAbandoned", "LostLeadership"]
 
 PRODUCER = "leader"
 ATTEMPT_TIMEOUT_S = 2.0
@@ -82,7 +82,7 @@
         self.epoch = epoch
 
 
-class GivenUp(Exception):
+class AppendAbandoned(Exception):
     """An append that was awaited has been abandoned because the leadership ends."""
 
     def __init__(self) -> None:
@@ -115,7 +115,7 @@
         self.last_settled_at = -1e9
         self.confirmed_at = -1e9
         """Local time at which the store last confirmed that no later epoch has written."""
-        self.end: int | None = None
+        self.end_offset: int | None = None
         """End offset of the topic after the latest answered append."""
 
     @property
@@ -148,7 +148,7 @@
             return 0.0
         return sum(entry.size for entry in self._pending) / (UPLINK_SHARE * self._uplink)
 
-    def owed_for(self) -> float:
+    def reported_silence(self) -> float:
         """Return for how many seconds the store has been silent, as reported to members.
 
         A store that loses writes or is slow counts as available, since it would serve another
@@ -191,7 +191,7 @@
         # would make their batches look complete.
         await asyncio.wait(waiting)
         if any(done.cancelled() for done in waiting):
-            raise GivenUp
+            raise AppendAbandoned
 
     async def _append_until_settled(self, records: list[Record], sequence: int) -> None:
         """Send an append until it is known to be complete, or raise ``LostLeadership``."""
@@ -221,7 +221,7 @@
         """
         await asyncio.wait([self._first_batch])
         if self._first_batch.cancelled():
-            raise GivenUp
+            raise AppendAbandoned
 
     async def _send_until_settled(
         self, records: list[Record], entry: "_PendingAppend"
@@ -331,7 +331,9 @@
         if isinstance(result, Appended | WrongSequence):
             self._record_confirmation(sent_at)
         if isinstance(result, Appended):
-            self.end = result.end if self.end is None else max(self.end, result.end)
+            self.end_offset = (
+                result.end if self.end_offset is None else max(self.end_offset, result.end)
+            )
             self._loss_detector.record_answered(seconds)
         elif isinstance(result, WrongSequence):
             self._loss_detector.record_out_of_order(seconds)
--- a/src/sablemount/control/commit_loop.py
+++ b/src/sablemount/control/commit_loop.py
@@ -5,7 +5,7 @@
 
 from sablemount.control.clock import monotonic, set_within
 from sablemount.control.commit import Committer
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.jobs.journal import Batch
 from sablemount.jobs.scheduler import JobScheduler
 
@@ -35,7 +35,7 @@
         self,
         scheduler: JobScheduler,
         committer: Committer,
-        metrics: Figures,
+        metrics: Metrics,
         on_durable: Callable[[float], None],
         keep: Callable[["asyncio.Task[None]"], None],
     ) -> None:
@@ -47,22 +47,22 @@
         self._requested = asyncio.Event()
         self._waiters: list[asyncio.Future[None]] = []
 
-    def want(self) -> None:
+    def request_commit(self) -> None:
         """Request a commit: append pending records, or confirm the leadership if there are none."""
         self._requested.set()
 
-    def noted(self) -> "asyncio.Future[None]":
+    def when_recorded(self) -> "asyncio.Future[None]":
         """Return a future that is done once all records pending now are stored."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.append(future)
-        self.want()
+        self.request_commit()
         return future
 
-    def stuck(self) -> bool:
+    def is_store_silent(self) -> bool:
         """Return whether the store is silent, so that no new work can be accepted."""
         return self._committer.is_silent()
 
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Return whether an append is in flight or awaited."""
         return bool(self._waiters) or self._committer.in_flight > 0
 
@@ -98,7 +98,7 @@
             # On failure, such as fencing by a later leader, the waiters are cancelled.
             _cancel(waiters)
         if self._scheduler.journal.pending():
-            self.want()
+            self.request_commit()
 
     def _earliest_answer_at(self) -> float:
         """Return the earliest time at which the next answer may have been produced."""
--- a/src/sablemount/control/configuration_feed.py
+++ b/src/sablemount/control/configuration_feed.py
@@ -16,7 +16,7 @@
 from sablemount.control.clock import monotonic, set_within
 from sablemount.control.configuration_parts import IncomingTransfer, InvalidParts
 from sablemount.control.configuration_source import ConfigurationSource
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.gate import Gate
 from sablemount.control.leader_link import LeaderLink
 from sablemount.control.messages import (
@@ -72,7 +72,7 @@
         self,
         codec: DirectoryCodec,
         link: LeaderLink,
-        metrics: Figures,
+        metrics: Metrics,
         spawn: Callable[[Coroutine[object, object, None]], "asyncio.Task[None]"],
         mbits: float = 0.0,
     ) -> None:
@@ -113,7 +113,7 @@
         """Return the seconds since the version in force was last confirmed."""
         return monotonic() - self.confirmed_at
 
-    def listen(self, listener: Callable[[Configuration], None]) -> Callable[[], None]:
+    def subscribe(self, listener: Callable[[Configuration], None]) -> Callable[[], None]:
         """Pass the version in force and each newer one to ``listener``; return a way to stop it."""
         self._listeners.append(listener)
         if self.version >= 0:
@@ -122,18 +122,18 @@
 
     # -- Updates -----------------------------------------------------------------------------
 
-    def listed(self, items: Sequence[PageItem], end: int) -> None:
+    def on_listed(self, items: Sequence[PageItem], end: int) -> None:
         """Handle the list of the newest records of the topic."""
-        self.told([item.record for item in items], end)
+        self.on_records([item.record for item in items], end)
 
-    def told(self, records: Sequence[Record], end: int) -> None:
+    def on_records(self, records: Sequence[Record], end: int) -> None:
         """Handle records of the topic."""
         for record in records:
             configuration = self._codec.configuration(record)
             if configuration is not None:
                 self.offer(configuration, "store")
 
-    def confirmed(self, asked_at: float) -> None:
+    def record_confirmation(self, asked_at: float) -> None:
         """Record that the store had nothing newer at the local time ``asked_at``."""
         self.confirmed_at = max(self.confirmed_at, asked_at)
 
@@ -170,7 +170,7 @@
 
     # -- The leader's side -------------------------------------------------------------------
 
-    def pinged(self, link: Link, version: int) -> None:
+    def on_ping(self, link: Link, version: int) -> None:
         """Handle a ping of a member that has ``version``: request it if it is newer."""
         now = monotonic()
         if version <= self.version or now - self._requested_at < MIN_REQUEST_INTERVAL_S:
@@ -178,7 +178,7 @@
         self._requested_at = now
         self._pull_once(link.call, "member")
 
-    def as_now(self, call: CallerCall) -> CallerCall:
+    def readmit(self, call: CallerCall) -> CallerCall:
         """Return a call that an earlier version has admitted as admitted by the one in force.
 
         The call is returned unchanged if the two versions would not admit it identically.
@@ -192,7 +192,7 @@
 
     # -- A member's side ---------------------------------------------------------------------
 
-    def heard(self, pong: Pong, asked_at: float) -> None:
+    def on_pong(self, pong: Pong, asked_at: float) -> None:
         """Handle the leader's answer to a ping sent at the local time ``asked_at``."""
         now = monotonic()
         self.announced_version = max(self.announced_version, pong.configuration)
@@ -200,7 +200,7 @@
             self._behind_since = None
             if pong.configuration == self.version:
                 # The leader may have sent the answer as early as ``asked_at``.
-                self.confirmed(asked_at - pong.configuration_age)
+                self.record_confirmation(asked_at - pong.configuration_age)
             if pong.wants_configuration and (self._pushing is None or self._pushing.done()):
                 self._pushing = self._spawn(self._push())
             return
--- a/src/sablemount/control/configuration_source.py
+++ b/src/sablemount/control/configuration_source.py
@@ -12,15 +12,15 @@
     TransferSlots,
     pack,
 )
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.messages import ConfigurationCall, ConfigurationReply
 from sablemount.jobs.model import Configuration
 
-__all__ = ["BYTES_OF_MBIT", "ConfigurationSource"]
+__all__ = ["BYTES_PER_MBIT", "ConfigurationSource"]
 
 UNLIMITED_MBITS = 100.0
 """Rate that is assumed for a link without a limit."""
-BYTES_OF_MBIT = 125_000.0
+BYTES_PER_MBIT = 125_000.0
 MAX_IN_TRANSMISSION_S = 0.1
 """Maximum time for which parts in transmission may occupy this machine's link: a ping's time-out is
 0.3 s."""
@@ -38,8 +38,8 @@
 class ConfigurationSource:
     """Answers requests for the configuration that ``current`` returns; ``link`` is in Mbit/s."""
 
-    def __init__(self, link: float, metrics: Figures, current: Callable[[], Configuration]) -> None:
-        self._rate = (link or UNLIMITED_MBITS) * BYTES_OF_MBIT
+    def __init__(self, link: float, metrics: Metrics, current: Callable[[], Configuration]) -> None:
+        self._rate = (link or UNLIMITED_MBITS) * BYTES_PER_MBIT
         self._metrics = metrics
         self._current = current
         self._slots = TransferSlots()
--- a/src/sablemount/control/counted_store.py
+++ b/src/sablemount/control/counted_store.py
@@ -1,7 +1,7 @@
 """A store wrapper that counts calls by topic and outcome."""
 
 from sablemount.control.clock import monotonic
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.progress import Progress
 from sablemount.control.store import (
     AppendResult,
@@ -26,7 +26,7 @@
     reads wait for records, and ``CommitLoop`` observes the leader's appends.
     """
 
-    def __init__(self, store: Store, metrics: Figures) -> None:
+    def __init__(self, store: Store, metrics: Metrics) -> None:
         self._store = store
         self._metrics = metrics
 
--- a/src/sablemount/control/election.py
+++ b/src/sablemount/control/election.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from sablemount.control.clock import monotonic
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.hedge import hedged
 from sablemount.control.leader_link import LeaderLink
 from sablemount.control.member_settings import MemberSettings
@@ -116,7 +116,7 @@
         store: Store,
         link: LeaderLink,
         rng: random.Random,
-        figures: Figures,
+        figures: Metrics,
         on_leader: Callable[[LeaderRecord], None],
         on_won: Callable[[int], None],
         read: "Callable[[], asyncio.Task[Reading | None]]",
--- a/src/sablemount/control/figures.py
+++ b/src/sablemount/control/figures.py
@@ -8,14 +8,14 @@
 from collections import Counter
 from collections.abc import Sequence
 
-__all__ = ["BUCKET_BOUNDS_S", "Figures"]
+__all__ = ["BUCKET_BOUNDS_S", "Metrics"]
 
 BUCKET_BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
 """Upper bounds of the histogram buckets, in seconds."""
 INFINITY_LABEL = "+Inf"
 
 
-class Figures:
+class Metrics:
     """Counters by name and label, and histograms of durations by name."""
 
     def __init__(self) -> None:
--- a/src/sablemount/control/follow.py
+++ b/src/sablemount/control/follow.py
@@ -80,7 +80,7 @@
         self._progress = Progress()
         """Progress of the answer to the read in flight."""
 
-    def pace(self, list_interval: float, max_wait: float) -> None:
+    def set_intervals(self, list_interval: float, max_wait: float) -> None:
         """Change the intervals, and restart the read in flight unless its answer is arriving."""
         self._list_interval = list_interval
         self._max_wait = max_wait
--- a/src/sablemount/control/hand_over.py
+++ b/src/sablemount/control/hand_over.py
@@ -66,7 +66,11 @@
 
 
 def _calm(leader: Leader) -> bool:
-    return leader.authority() and not leader.closing and leader.committer.owed_for() < CALM_STORE
+    return (
+        leader.authority()
+        and not leader.closing
+        and leader.committer.reported_silence() < CALM_STORE
+    )
 
 
 async def _asked(leader: Leader, members: list[tuple[str, Link]], once_read: bool) -> bool:
--- a/src/sablemount/control/leader.py
+++ b/src/sablemount/control/leader.py
@@ -11,12 +11,12 @@
 from sablemount.control.advice_calls import AdviceCalls
 from sablemount.control.authority import AUTHORITY_LIMIT, AUTHORITY_TIME, Authority
 from sablemount.control.background import Background
-from sablemount.control.callers import Callers
+from sablemount.control.callers import CallerService
 from sablemount.control.clock import LoopClock, monotonic, set_within
-from sablemount.control.commit import Committer, GivenUp, LostLeadership
+from sablemount.control.commit import AppendAbandoned, Committer, LostLeadership
 from sablemount.control.commit_loop import CommitLoop
 from sablemount.control.configuration_feed import ConfigurationFeed
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.follow import Follower
 from sablemount.control.load import Load, LoadProgress
 from sablemount.control.members import Members
@@ -72,7 +72,7 @@
         ports: LeaderPorts,
         settings: JobSettings,
         rng: random.Random,
-        figures: Figures,
+        figures: Metrics,
         feed: ConfigurationFeed,
         reading: "asyncio.Task[Reading | None] | None" = None,
         roster: Roster | None = None,
@@ -103,7 +103,7 @@
             self.scheduler, self.committer, figures, self._confirmed, self._background.keep
         )
         self._authority = Authority(
-            lambda: self.committer.confirmed_at, self.members.stand_in, self.commits.want
+            lambda: self.committer.confirmed_at, self.members.stand_in, self.commits.request_commit
         )
         self.calls = VmCalls(
             self.scheduler,
@@ -112,12 +112,12 @@
             self.authority,
             self._fenced_by_vm,
             self.kick,
-            self.commits.noted,
+            self.commits.when_recorded,
         )
         self._advice = AdviceCalls(
             name, self.scheduler.advice, ports.advice, self.members, figures, self._woken
         )
-        self.callers = Callers(
+        self.callers = CallerService(
             self.scheduler, self.commits, self._serves, self._store_is_fresh, self.kick
         )
         self.leading = False
@@ -168,7 +168,7 @@
         """Take no more calls, and wait a little until those taken before are in the store."""
         self.closing = True
         last = monotonic() + DRAIN_TIME
-        while self.commits.busy() and monotonic() < last:
+        while self.commits.is_busy() and monotonic() < last:
             await asyncio.sleep(DRAIN_POLL)
 
     def _close(self) -> None:
@@ -183,7 +183,7 @@
     def _sizes(self) -> dict[str, int | None]:
         state = self.scheduler.state
         sizes = {"jobs": len(state.jobs), "live": len(state.live), "vms": len(state.vms)}
-        return {"end": self.committer.end, **sizes}
+        return {"end": self.committer.end_offset, **sizes}
 
     async def _load(self) -> bool:
         """Load what lasts; return whether it is there before the leadership ends."""
@@ -200,7 +200,7 @@
         self.scheduler.load(records)
 
     def _follow(self) -> None:
-        self._stop_listening = self._feed.listen(self._configured)
+        self._stop_listening = self._feed.subscribe(self._configured)
         vms = Follower(
             self.ports.store,
             Topic.VMS,
@@ -214,7 +214,7 @@
 
     def _failed(self, error: BaseException) -> None:
         """End the leadership over what a part of it has raised."""
-        if isinstance(error, LostLeadership | GivenUp):
+        if isinstance(error, LostLeadership | AppendAbandoned):
             self.end(str(error))
             return
         _logger.error("internal error, leadership ends", exc_info=error)
@@ -278,12 +278,12 @@
         self._judge_members()
         self.scheduler.advice.set_lanes({self.name} | self.members.heard())
         if self.authority():
-            noting = not self.commits.stuck()
+            noting = not self.commits.is_store_silent()
             for action in self.scheduler.tick(noting, self._confirmed_at):
                 self._perform(action)
-            self.calls.follow_new()
+            self.calls.poll_new_vms()
         if self.scheduler.journal.pending():
-            self.commits.want()
+            self.commits.request_commit()
         if self.scheduler.placement.unfinished:
             self.kick()
 
@@ -306,10 +306,10 @@
             self.calls.stop(action)
         elif isinstance(action, PaceRun):
             self.figures.count("pace")
-            self.calls.pace(action)
+            self.calls.throttle(action)
         elif isinstance(action, LookAt):
             self.figures.count("look_at_once")
-            self.calls.look_at_once(action)
+            self.calls.poll_now(action)
         else:
             self._background.spawn(self._advice.ask(action))
 
--- a/src/sablemount/control/load.py
+++ b/src/sablemount/control/load.py
@@ -5,8 +5,8 @@
 
 from sablemount.control.clock import monotonic
 from sablemount.control.commit import Committer
-from sablemount.control.figures import Figures
-from sablemount.control.pages import LAST_KEY
+from sablemount.control.figures import Metrics
+from sablemount.control.pages import MAX_KEY
 from sablemount.control.preload import Reading, load_records
 from sablemount.control.progress import Progress
 from sablemount.control.store import (
@@ -106,7 +106,7 @@
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
         """Read a page, and count what comes of it."""
-        if after == LAST_KEY:
+        if after == MAX_KEY:
             return await self._store.newest(topic, after, timeout, progress)
         if not after:
             self._progress.again()
@@ -138,7 +138,7 @@
 class Load:
     """Loads for one leadership, with as many tries as it takes."""
 
-    def __init__(self, epoch: int, store: Store, progress: LoadProgress, figures: Figures) -> None:
+    def __init__(self, epoch: int, store: Store, progress: LoadProgress, figures: Metrics) -> None:
         self._epoch = epoch
         self._progress = progress
         self._store = LoadStore(store, progress)
@@ -157,7 +157,7 @@
         self._progress.kept(1)
         while True:
             self._tries += 1
-            records = await load_records(self._store, reading, committer.end)
+            records = await load_records(self._store, reading, committer.end_offset)
             if records is not None:
                 break
             _logger.info("load failed", extra={**self._state(), "why": self._store.why})
--- a/src/sablemount/control/member.py
+++ b/src/sablemount/control/member.py
@@ -9,11 +9,11 @@
 from sablemount.control.caller_route import CallerRoute
 from sablemount.control.clock import monotonic, set_within
 from sablemount.control.configuration_feed import ConfigurationFeed
-from sablemount.control.configuration_source import BYTES_OF_MBIT
+from sablemount.control.configuration_source import BYTES_PER_MBIT
 from sablemount.control.counted_store import CountedStore
 from sablemount.control.discovery import Discovery
 from sablemount.control.election import Election
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.follow import Follower
 from sablemount.control.hand_over import Successor, hand_over, relieve
 from sablemount.control.leader import Leader, LeaderPorts
@@ -58,7 +58,7 @@
         rng: random.Random,
     ) -> None:
         self.settings = settings
-        self.figures = Figures()
+        self.figures = Metrics()
         store = CountedStore(ports.store, self.figures)
         ports = LeaderPorts(store, ports.vms, ports.advice, ports.codec)
         self.ports = ports
@@ -97,7 +97,7 @@
             self._background.spawn,
             settings.limits.link,
         )
-        self._link.on_pong = self.feed.heard
+        self._link.on_pong = self.feed.on_pong
         self._calls = MemberCalls(
             self._link,
             self.feed,
@@ -112,10 +112,10 @@
         self._configurations = Follower(
             ports.store,
             Topic.CONFIGURATION,
-            self.feed.listed,
-            self.feed.told,
+            self.feed.on_listed,
+            self.feed.on_records,
             WATCH_FRESH_START,
-            self.feed.confirmed,
+            self.feed.record_confirmation,
             self._longest_wait(),
         )
 
@@ -224,7 +224,7 @@
         if self.leader is not None or self.stopping:
             return
         read_before = self._preload.take()
-        uplink = self.settings.limits.link * BYTES_OF_MBIT
+        uplink = self.settings.limits.link * BYTES_PER_MBIT
         leader = Leader(
             self.settings.name,
             epoch,
@@ -240,7 +240,7 @@
             uplink,
         )
         self.leader = leader
-        self._configurations.pace(
+        self._configurations.set_intervals(
             LEADING_FRESH_START, min(LEADING_FRESH_START, self._longest_wait())
         )
         record = self._link.record
@@ -255,7 +255,7 @@
             announcing.cancel()
             relieving.cancel()
             self.leader = None
-            self._configurations.pace(WATCH_FRESH_START, self._longest_wait())
+            self._configurations.set_intervals(WATCH_FRESH_START, self._longest_wait())
             self._link.cell = leader.members.size
             self._election.rest()
             leader.members.close_links()
--- a/src/sablemount/control/member_calls.py
+++ b/src/sablemount/control/member_calls.py
@@ -91,14 +91,14 @@
             leader.end("a member knows a later leader")
             return Pong(leader.epoch, False, 0.0)
         leader.members.pinged(link, ping)
-        self._feed.pinged(link, ping.configuration)
+        self._feed.on_ping(link, ping.configuration)
         roster = leader.roster
         roster.note(ping.name, ping.address)
         members = roster.since(ping.roster)
         return Pong(
             leader.epoch,
             True,
-            leader.committer.owed_for(),
+            leader.committer.reported_silence(),
             members=members,
             roster=ping.roster if members is None else roster.version,
             configuration=self._feed.version,
@@ -111,4 +111,4 @@
         leader = self._leader()
         if leader is None or not leader.leading:
             return not_taken("this member does not lead", changing=True)
-        return await leader.serve(self._feed.as_now(call))
+        return await leader.serve(self._feed.readmit(call))
--- a/src/sablemount/control/pages.py
+++ b/src/sablemount/control/pages.py
@@ -15,9 +15,9 @@
 from sablemount.control.progress import Progress
 from sablemount.control.store import Page, PageItem, Store, Topic, Unavailable
 
-__all__ = ["LAST_KEY", "Newest", "read_newest", "topic_end"]
+__all__ = ["MAX_KEY", "Newest", "read_newest", "topic_end"]
 
-LAST_KEY = "\U0010ffff"
+MAX_KEY = "\U0010ffff"
 """A key that is greater than all others."""
 PROBE_TIMEOUT_S = 1.5
 """Time-out of a probe."""
@@ -70,7 +70,7 @@
     """Return the end offset of a topic, or ``None`` without an answer; reads no records."""
 
     async def ask() -> int | None:
-        page = await store.newest(topic, LAST_KEY, PROBE_TIMEOUT_S)
+        page = await store.newest(topic, MAX_KEY, PROBE_TIMEOUT_S)
         return None if isinstance(page, Unavailable) else page.end
 
     return await hedged(ask, interval, limit)
--- a/src/sablemount/control/ports.py
+++ b/src/sablemount/control/ports.py
@@ -29,7 +29,7 @@
 
     FENCED = "fenced"
     """The VM has seen a later leader."""
-    OTHER_LIFE = "other life"
+    OTHER_INCARNATION = "other life"
     """Another VM, or another incarnation with an id of its own, is at the address."""
     REFUSED = "refused"
     """No process listens at the address."""
@@ -46,7 +46,7 @@
     fence: int
     until_ms: int
     """Expiry of the leases on the VM's clock, 0 to leave them unchanged."""
-    acked_end: int
+    acked_completion: int
     """Sequence number of the newest acknowledged completion, 0 for none."""
     wait: float
     """Seconds that the answer may wait for a completion."""
--- a/src/sablemount/control/vm_calls.py
+++ b/src/sablemount/control/vm_calls.py
@@ -16,11 +16,11 @@
 
 __all__ = ["VmCalls"]
 
-HOLD_WAIT = 0.7
+HOLD_WAIT_S = 0.7
 """How long a poll waits for a completion."""
-LOOKS_A_SECOND = 1_500
+IDLE_POLLS_PER_S = 1_500
 """Maximum rate of polls of all idle VMs together, which takes a third of a processor core."""
-MOST_WAIT = 1.7
+MAX_HOLD_WAIT_S = 1.7
 """Longest wait of a poll of an idle VM: with its slack, the poll ends before the VM counts as
 silent."""
 SHORT_WAIT_S = 0.1
@@ -61,7 +61,7 @@
 """Time-out of a start request: 100 times the usual response time."""
 MAX_START_ATTEMPTS = 3
 """Maximum number of attempts of a start request within its validity of 1.5 s."""
-PROOF_LEASE = 0.04
+PROBE_LEASE_S = 0.04
 """Lease of a probe run, which shows whether its VM lists completions: long enough for the start
 request to arrive, too short for the work to complete. It doubles with each probe, up to the
 validity of a start request."""
@@ -113,7 +113,7 @@
 
     # -- Polls -------------------------------------------------------------------------------
 
-    def follow_new(self) -> None:
+    def poll_new_vms(self) -> None:
         """Start polling the VMs that are not polled yet."""
         for name, row in self._scheduler.state.vms.items():
             if name not in self._polling:
@@ -144,7 +144,7 @@
             # Another leader may have taken over during the wait for the slot.
             return self._authority() and await self._poll(row)
 
-    def look_at_once(self, action: LookAt) -> None:
+    def poll_now(self, action: LookAt) -> None:
         """Poll a VM now, without waiting for a completion."""
         row = self._scheduler.state.vms.get(action.vm)
         if row is not None and self._authority():
@@ -191,7 +191,7 @@
             return False
         if result is CallError.FENCED:
             self._handle_refused_fence(row, fence)
-        elif result is CallError.OTHER_LIFE:
+        elif result is CallError.OTHER_INCARNATION:
             scheduler.vms.died(row.name)
             self._kick()
         elif result is CallError.REFUSED:
@@ -201,7 +201,7 @@
             scheduler.vms.unanswered(row)
         _logger.debug("poll failed", extra={"vm": row.name, "why": result.value})
         # No pause is needed after a poll that acknowledged completions or took long.
-        return (acked > 0 or monotonic() - sent_at > HOLD_WAIT) and not silent
+        return (acked > 0 or monotonic() - sent_at > HOLD_WAIT_S) and not silent
 
     def _fence(self, row: VmRow) -> int:
         return (self._epoch << EPOCH_SHIFT) + row.fence
@@ -215,8 +215,10 @@
         if acked or row.seen_end > row.acked_end:
             return 0.0
         if row.runs:
-            return SHORT_WAIT_S if self._scheduler.uncertain_on(row.name) else HOLD_WAIT
-        return min(MOST_WAIT, max(HOLD_WAIT, len(self._scheduler.state.vms) / LOOKS_A_SECOND))
+            return SHORT_WAIT_S if self._scheduler.uncertain_on(row.name) else HOLD_WAIT_S
+        return min(
+            MAX_HOLD_WAIT_S, max(HOLD_WAIT_S, len(self._scheduler.state.vms) / IDLE_POLLS_PER_S)
+        )
 
     @staticmethod
     def _timeout(known: bool, silent: bool, wait: float) -> float:
@@ -293,7 +295,7 @@
             if result is CallError.FENCED:
                 self._handle_refused_fence(row, fence)
                 continue
-            if result is CallError.OTHER_LIFE:
+            if result is CallError.OTHER_INCARNATION:
                 self._scheduler.vms.died(action.vm)
                 self._kick()
                 return
@@ -313,7 +315,7 @@
     def _validity(self, action: StartRun, row: VmRow, run: RunRow) -> float:
         """Return for how many seconds a start request is valid and its run is leased."""
         remaining = self._remaining(action)
-        return min(remaining, PROOF_LEASE * 2 ** (row.proofs - 1)) if run.proof else remaining
+        return min(remaining, PROBE_LEASE_S * 2 ** (row.proofs - 1)) if run.proof else remaining
 
     @staticmethod
     def _remaining(action: StartRun) -> float:
@@ -322,7 +324,7 @@
     async def _stop(self, action: StopRun) -> None:
         await self._request(action.vm, partial(self._port.stop, action))
 
-    def pace(self, action: PaceRun) -> None:
+    def throttle(self, action: PaceRun) -> None:
         """Send a request to throttle a run, in the background."""
         self._background.spawn(self._throttle(action))
 
--- a/src/sablemount/platform/front.py
+++ b/src/sablemount/platform/front.py
@@ -141,7 +141,7 @@
         self.server = CallerServer(self._take, body_timeout=BODY_SECONDS, final=final)
         self.server.refuse = self._refuse
         self.server.set_limits(DEFAULT_LIMITS)
-        member.feed.listen(lambda configuration: self.server.set_limits(configuration.limits))
+        member.feed.subscribe(lambda configuration: self.server.set_limits(configuration.limits))
 
     def _refuse(self, connection: httputil.HTTPConnection, status: HTTPStatus, reason: str) -> None:
         """Answer a request that is over a bound, of which no more is read."""
--- a/src/sablemount/platform/workers.py
+++ b/src/sablemount/platform/workers.py
@@ -103,7 +103,7 @@
 
     async def hold(self, call: HoldCall, timeout: float) -> HoldResult:
         """Hold and look."""
-        body = _Hold(call.fence, call.acked_end, call.until_ms, int(call.wait * MS))
+        body = _Hold(call.fence, call.acked_completion, call.until_ms, int(call.wait * MS))
         sent_at = monotonic()
         answer = await self._call(call.address, "/api/hold", body, call.vm, timeout, call.wait)
         if isinstance(answer, CallError):
@@ -190,7 +190,7 @@
 
 def _error(answer: Answer) -> CallError:
     if answer.status == OTHER_LIFE:
-        return CallError.OTHER_LIFE
+        return CallError.OTHER_INCARNATION
     try:
         told = _ANSWER.decode(answer.body)
     except msgspec.DecodeError:
--- a/tests/emulator/store_faults.py
+++ b/tests/emulator/store_faults.py
@@ -129,7 +129,7 @@
     """Return who has set its epoch and does not lead yet."""
     for name, member in system.members.items():
         leader = member.leader
-        if leader is not None and not leader.leading and leader.committer.end is not None:
+        if leader is not None and not leader.leading and leader.committer.end_offset is not None:
             return name
     return None
 
--- a/tests/emulator/vm_ports.py
+++ b/tests/emulator/vm_ports.py
@@ -130,7 +130,7 @@
             return
         await asyncio.sleep(self._way())
         if not answer.done():
-            answer.set_result(CallError.REFUSED if present is None else CallError.OTHER_LIFE)
+            answer.set_result(CallError.REFUSED if present is None else CallError.OTHER_INCARNATION)
 
     async def fetch(
         self,
@@ -153,7 +153,7 @@
         result = await self._call(name, address, acted, timeout, refusal)
         if result is CallError.REFUSED:
             raise NotSent("refused", refused=True)
-        if result is CallError.OTHER_LIFE:
+        if result is CallError.OTHER_INCARNATION:
             result = (421, {})
         if isinstance(result, CallError):
             raise CutShort(result.value)
--- a/tests/emulator/vms.py
+++ b/tests/emulator/vms.py
@@ -381,9 +381,9 @@
         if call.until_ms:
             self._extend(vm, call.until_ms, now)
         for end in vm.ends:
-            if end.number <= call.acked_end:
+            if end.number <= call.acked_completion:
                 self._note(vm, end.number)
-        vm.acked_end = max(vm.acked_end, call.acked_end)
+        vm.acked_end = max(vm.acked_end, call.acked_completion)
         vm.ends = [end for end in vm.ends if end.number > vm.acked_end]
         return None
 
--- a/tests/emulator/watched.py
+++ b/tests/emulator/watched.py
@@ -96,7 +96,7 @@
 
     async def hold(self, call: HoldCall, timeout: float) -> HoldResult:
         for end in self._cell.newest(entry_of(call.vm)).ends:
-            if end.number <= call.acked_end:
+            if end.number <= call.acked_completion:
                 self._watch.acknowledged(call.fence, call.vm, end)
         return await super().hold(call, timeout)
 
--- a/tests/jobs/test_acks.py
+++ b/tests/jobs/test_acks.py
@@ -220,7 +220,10 @@
         row.heard_at = asyncio.get_running_loop().time()
         await calls._poll(row)
         await calls._poll(row)
-        assert [(call.acked_end, call.wait > 0) for call in port.holds] == [(1, False), (0, True)]
+        assert [(call.acked_completion, call.wait > 0) for call in port.holds] == [
+            (1, False),
+            (0, True),
+        ]
 
     run(scenario())
 
--- a/tests/jobs/test_caps.py
+++ b/tests/jobs/test_caps.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sablemount.control.organisation_figures import MOST_NAMED, organisation_gauges
+from sablemount.control.organisation_figures import MAX_NAMED, organisation_gauges
 from sablemount.jobs.actions import RunReport
 from sablemount.jobs.caps import NO_LIMIT, cap_fault, places_within
 from sablemount.jobs.model import Organisation, Queue, Shape, StepSpec
@@ -356,8 +356,8 @@
         rig.accept(f"j{organisation.name}", spec(StepSpec(3, CORE)), organisation=organisation.name)
     rig.tick()
     figures = organisation_gauges(rig.scheduler.state)
-    assert len(figures) <= 3 * MOST_NAMED + 2
+    assert len(figures) <= 3 * MAX_NAMED + 2
     assert figures["organisation_cores/o000"] == 2.0
     assert figures["organisation_cap/o000"] == 2.0
     assert figures["organisation_waiting/o000"] == 1.0
-    assert figures["organisation_cores/others"] == 2.0 * (200 - MOST_NAMED)
+    assert figures["organisation_cores/others"] == 2.0 * (200 - MAX_NAMED)
--- a/tests/jobs/test_configuration_parts.py
+++ b/tests/jobs/test_configuration_parts.py
@@ -20,7 +20,7 @@
     pack,
 )
 from sablemount.control.configuration_source import RETRY_DELAY_S, ConfigurationSource
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.leader_link import LeaderLink
 from sablemount.control.member_settings import MemberSettings
 from sablemount.control.messages import (
@@ -154,7 +154,7 @@
 
 
 def _source(mbits: float, configuration: Configuration) -> ConfigurationSource:
-    return ConfigurationSource(mbits, Figures(), lambda: configuration)
+    return ConfigurationSource(mbits, Metrics(), lambda: configuration)
 
 
 def test_a_small_link_serves_few_at_a_time() -> None:
@@ -263,7 +263,7 @@
     def spawn(work: Coroutine[object, object, None]) -> "asyncio.Task[None]":
         return asyncio.get_running_loop().create_task(work)
 
-    feed = ConfigurationFeed(Codec(), link, Figures(), spawn)
+    feed = ConfigurationFeed(Codec(), link, Metrics(), spawn)
     feed.offer(Configuration(1), "store")
     return feed
 
@@ -273,7 +273,7 @@
         configuration = _configuration(3)
         feed = _feed(_OlderLeaderLink(configuration, 1.4))
         for _ in range(40):
-            feed.heard(Pong(1, True, 0.0, configuration=3), 0.0)
+            feed.on_pong(Pong(1, True, 0.0, configuration=3), 0.0)
             await asyncio.sleep(0.15)
         assert feed.gate.configuration == configuration
 
@@ -286,7 +286,7 @@
         feed = _feed(leader)
         feed.offer(_configuration(3), "store")
         for _ in range(3):
-            feed.heard(Pong(1, True, 0.0, configuration=1, wants_configuration=True), 0.0)
+            feed.on_pong(Pong(1, True, 0.0, configuration=1, wants_configuration=True), 0.0)
             await asyncio.sleep(0.3)
         assert leader.messages == [ConfigurationNews(_configuration(3))]
 
--- a/tests/jobs/test_confirmation_age.py
+++ b/tests/jobs/test_confirmation_age.py
@@ -9,7 +9,7 @@
 import random
 
 from sablemount.control.configuration_feed import ConfigurationFeed
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.leader_link import PING_TIMEOUT, LeaderLink
 from sablemount.control.member_settings import MemberSettings
 from sablemount.control.messages import LeaderRecord, Message, Pong, Reply
@@ -47,10 +47,10 @@
         link = LeaderLink(settings, Wires().port("m"), refuse)
         link.follow(LeaderRecord(1, "leader", "leader", "life"))
         feed = ConfigurationFeed(
-            Codec(), link, Figures(), lambda work: asyncio.get_running_loop().create_task(work)
+            Codec(), link, Metrics(), lambda work: asyncio.get_running_loop().create_task(work)
         )
         feed.offer(Configuration(1), "store")
-        link.on_pong = feed.heard
+        link.on_pong = feed.on_pong
         confirmed_at = asyncio.get_running_loop().time()
         await asyncio.sleep(random.Random(1).uniform(0.5, 1.0))
         await link._ping(_SlowLink(confirmed_at))
--- a/tests/jobs/test_counted_store.py
+++ b/tests/jobs/test_counted_store.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sablemount.control.counted_store import CountedStore
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.progress import Progress
 from sablemount.control.store import Page, Topic, Unavailable
 from tests.emulator.loop import run
@@ -29,7 +29,7 @@
 )
 def test_a_call_without_an_answer_is_counted_by_its_kind(reason: str, label: str) -> None:
     async def scenario() -> None:
-        metrics = Figures()
+        metrics = Metrics()
         await CountedStore(_FailingStore(reason), metrics).newest(Topic.JOBS, "", 1.0)
         assert metrics.counters == {("store_page_jobs", label): 1}
 
--- a/tests/jobs/test_election.py
+++ b/tests/jobs/test_election.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sablemount.control.election import LEADER_KEY, Election
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.leader_link import LeaderLink
 from sablemount.control.member import WATCH_INTERVAL
 from sablemount.control.member_settings import MemberSettings
@@ -96,7 +96,7 @@
             self.store,
             self.link,
             random.Random(name),
-            Figures(),
+            Metrics(),
             self._seen,
             self.won.append,
             Preload(EmulatedStore(self.state, name)).begin,
--- a/tests/jobs/test_given_up.py
+++ b/tests/jobs/test_given_up.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from sablemount.control.commit import Committer, GivenUp, LostLeadership
+from sablemount.control.commit import AppendAbandoned, Committer, LostLeadership
 from sablemount.control.store import Topic
 from sablemount.jobs.records import Record
 from tests.emulator.loop import run
@@ -49,7 +49,7 @@
         second = asyncio.create_task(committer.append(records))
         with pytest.raises(LostLeadership):
             await first
-        with pytest.raises(GivenUp):
+        with pytest.raises(AppendAbandoned):
             await asyncio.wait_for(second, 1.0)
         assert committer.in_flight == 0
 
--- a/tests/jobs/test_load.py
+++ b/tests/jobs/test_load.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sablemount.control.commit import Committer
-from sablemount.control.figures import Figures
+from sablemount.control.figures import Metrics
 from sablemount.control.load import Load, LoadProgress, LoadStore
 from sablemount.control.preload import Preload
 from sablemount.control.store import Topic
@@ -74,7 +74,7 @@
         before = progress.far
         assert before > 0
         committer = Committer(EmulatedStore(state, "m"), 1, random.Random(3))
-        load = Load(1, EmulatedStore(state, "m"), progress, Figures())
+        load = Load(1, EmulatedStore(state, "m"), progress, Metrics())
         records = await load.run(committer, preload.take())
         assert len(records) == KEYS
         assert progress.far > before
@@ -87,7 +87,7 @@
         state = _filled()
         state.unread["m"] = HALF
         store = EmulatedStore(state, "m")
-        figures = Figures()
+        figures = Metrics()
         load = Load(7, store, LoadProgress(), figures)
         asyncio.get_running_loop().call_later(6.0, state.unread.clear)
         await load.run(Committer(store, 7, random.Random(3)), None)
--- a/tests/jobs/test_many_vms.py
+++ b/tests/jobs/test_many_vms.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from sablemount.control.ports import CallError, HoldCall, HoldResult, Started
-from sablemount.control.vm_calls import HOLD_WAIT, VmCalls
+from sablemount.control.vm_calls import HOLD_WAIT_S, VmCalls
 from sablemount.jobs.actions import Heard, StartRun
 from sablemount.jobs.model import StepSpec
 from sablemount.jobs.settings import JobSettings
@@ -110,7 +110,7 @@
 def test_a_new_leader_hears_thousands_of_vms_at_the_first_look_and_goes_on_with_all_else() -> None:
     async def scenario() -> None:
         leader = _Leader(VMS)
-        leader.calls.follow_new()
+        leader.calls.poll_new_vms()
         await leader.run_other_work(4.0)
         assert all(row.first_heard_at > 0 for row in leader.rows)
         assert leader.port.failed == 0
@@ -123,7 +123,7 @@
 def test_a_look_that_has_waited_for_its_turn_is_not_sent_without_authority() -> None:
     async def scenario() -> None:
         leader = _Leader(VMS)
-        leader.calls.follow_new()
+        leader.calls.poll_new_vms()
         await asyncio.sleep(0.1)
         leader.authority = False
         before = leader.port.polls
@@ -137,7 +137,7 @@
 def test_looks_at_thousands_of_vms_leave_most_of_a_processor_to_all_else() -> None:
     async def scenario() -> None:
         leader = _Leader(VMS)
-        leader.calls.follow_new()
+        leader.calls.poll_new_vms()
         await leader.run_other_work(6.0)
         before = leader.port.processor_time
         await leader.run_other_work(6.0)
@@ -152,7 +152,7 @@
 def test_a_vm_at_work_is_looked_at_as_often_in_a_large_cell() -> None:
     async def scenario() -> None:
         leader = _Leader(VMS)
-        leader.calls.follow_new()
+        leader.calls.poll_new_vms()
         await leader.run_other_work(6.0)
         leader.rig.accept("job", spec(StepSpec(1, CORE)))
         leader.rig.tick(0.0)
@@ -164,7 +164,7 @@
         # The start was requested during a longer poll, which is the last one in the list.
         waits = [wait for vm, wait in leader.port.waits if vm == start.vm]
         assert waits
-        assert max(waits[:-1]) <= HOLD_WAIT
+        assert max(waits[:-1]) <= HOLD_WAIT_S
         leader.calls.close()
 
     run(scenario())
@@ -173,7 +173,7 @@
 def test_hundreds_of_starts_at_once_let_all_else_go_on() -> None:
     async def scenario() -> None:
         leader = _Leader(VMS)
-        leader.calls.follow_new()
+        leader.calls.poll_new_vms()
         await leader.run_other_work(6.0)
         leader.longest_gap = 0.0
         for number in range(JOBS):
--- a/tests/jobs/test_narrow_links.py
+++ b/tests/jobs/test_narrow_links.py
@@ -8,7 +8,7 @@
 
 from sablemount.control.commit import Committer
 from sablemount.control.follow import Follower
-from sablemount.control.pages import LAST_KEY, read_newest
+from sablemount.control.pages import MAX_KEY, read_newest
 from sablemount.control.preload import FRESH, Preload, load_records
 from sablemount.control.progress import Progress
 from sablemount.control.store import Page, PageItem, Topic, Unavailable
@@ -94,7 +94,7 @@
         await asyncio.sleep(3.0)
         reader.write(b"1")
         await asyncio.sleep(0.7)
-        reader.follower.pace(1.0, 1.0)
+        reader.follower.set_intervals(1.0, 1.0)
         await asyncio.sleep(1.0)
         assert reader.version == b"1"
         assert reader.link.carried < 1.1 * LARGE_RECORD_BYTES
@@ -200,7 +200,7 @@
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
-        await asyncio.sleep(timeout if after == LAST_KEY else max(0.0, self.remaining_s))
+        await asyncio.sleep(timeout if after == MAX_KEY else max(0.0, self.remaining_s))
         return Unavailable("the connection was reset")
 
 
@@ -287,7 +287,7 @@
         deadline = asyncio.get_running_loop().time() + 2 * size / LINK_BYTES_PER_S + 0.2
         while not appends.done() and asyncio.get_running_loop().time() < deadline:
             await asyncio.sleep(0.01)
-            assert committer.owed_for() < STORE_LOST_AFTER_S
+            assert committer.reported_silence() < STORE_LOST_AFTER_S
         assert appends.done()
         assert link.carried < 1.2 * size + 20_000
 
--- a/tests/jobs/test_proofs.py
+++ b/tests/jobs/test_proofs.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sablemount.control.ports import CallError, HoldCall, HoldResult, StartResult
-from sablemount.control.vm_calls import PROOF_LEASE, VmCalls
+from sablemount.control.vm_calls import PROBE_LEASE_S, VmCalls
 from sablemount.jobs.actions import Heard, OtherLife, StartRun
 from sablemount.jobs.model import AdviceTerms, StepSpec, VmInfo
 from sablemount.jobs.records import Record
@@ -172,7 +172,7 @@
         await calls._poll(row)
         await calls._start(start)
         assert port.holds[0].until_ms == 0
-        assert 0 < port.untils[0] - row.clock_ms <= PROOF_LEASE * 1000.0
+        assert 0 < port.untils[0] - row.clock_ms <= PROBE_LEASE_S * 1000.0
 
     run(scenario())
 
@@ -188,6 +188,6 @@
         row.acked_end = acked
         await calls._poll(row)
         (call,) = port.holds
-        assert (call.acked_end, call.until_ms > 0) == (acked, not acked)
+        assert (call.acked_completion, call.until_ms > 0) == (acked, not acked)
 
     run(scenario())
--- a/tests/jobs/test_standing.py
+++ b/tests/jobs/test_standing.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from sablemount.control.caller_route import HAND_OVER_WAIT
+from sablemount.control.caller_route import LEADER_CHANGE_WAIT_S
 from sablemount.control.messages import Outcome
 from sablemount.control.standing import FULL, MachineLimits, claim_delay, standing
 from tests.emulator.loop import run
@@ -78,7 +78,7 @@
         for seed in range(40, 50):
             system = _system(seed)
             system.kill(await begun(system), None)
-            await asyncio.sleep(HAND_OVER_WAIT)
+            await asyncio.sleep(LEADER_CHANGE_WAIT_S)
             assert system.leader() is not None
 
     run(scenario())
