--- a/src/sablemount/control/suspicion.py
+++ b/src/sablemount/control/suspicion.py
@@ -1,7 +1,8 @@
-"""When a member should try to lead: pure, over what it has seen of the leader.
+"""Failure detector for the leader: when a member should claim the leadership.
 
-A claim is safe at any time, since the store lets one claim through an epoch and fences the former
-leader. These rules only keep a healthy leader from being replaced.
+The rules are pure functions of what the member has observed of the leader. A claim is safe at any
+time, since the store accepts one claim per epoch and fences the previous leader. These rules only
+prevent a healthy leader from being replaced.
 """
 
 from dataclasses import dataclass
@@ -11,34 +12,40 @@
 __all__ = ["NEVER", "ClaimReason", "Suspicion"]
 
 NEVER = -1e9
-SILENT_AFTER = 0.6
+SILENCE_TIMEOUT_S = 0.6
 """Seconds without an answer of the leader after which it is suspected."""
-REFUSED_AFTER = 0.02
-"""Seconds for which nothing listens at the leader's address until it is suspected: a process that
-has gone leads no more, also if another one starts in its place."""
-IDLE_AFTER = 0.4
-"""Seconds for which the named leader may say that it does not lead."""
-STORE_LOST_AFTER = 0.2
-"""Seconds for which the store may owe the leader an answer, 50 times a usual one; a claim is due
-only if the store answers this member in its usual time, which is tried first."""
-LOAD_STUCK_AFTER = 2.0
-"""Seconds for which a leader's load may not get on: longer than a page of a slow store takes."""
-LOAD_SPREAD = 4.0
-"""How many times its patience a member leaves that to others: each reads all that lasts first."""
-MOST_DOUBLINGS = 3
-"""Each leader in a row that has not come to lead doubles the time that the next one has for a page,
-so often at most: where nobody loads sooner, turns would only throw loads away."""
-LATE = 0.1
-"""Seconds above which an answer was late: 20 times a usual one."""
-LATE_FACTOR = 3.0
-"""How many times what its late answers took a leader may be silent for beyond the usual: the queue
-of its link or core grows from answer to answer, and one that has gone stops at once."""
-MOST_LATE = 1.0
-"""Seconds that this adds at most: callers are refused meanwhile if it has gone."""
-LATE_FADES = 0.9
-"""What each answer leaves of an earlier one's lateness: half of it after a second."""
-ALONE_AFTER = 4.0
-"""Seconds of suspicion after which a member that hears nobody else claims all the same."""
+REFUSED_TIMEOUT_S = 0.02
+"""Seconds for which connections to the leader's address are refused until it is suspected: a
+process that has ended no longer leads, even if another one starts in its place."""
+IDLE_TIMEOUT_S = 0.4
+"""Seconds for which the member named as leader may report that it does not lead."""
+STORE_LOST_TIMEOUT_S = 0.2
+"""Seconds for which an answer of the store to the leader may be overdue, 50 times the usual
+response time. A claim also requires that the store answers this member in the usual time, which is
+probed first."""
+LOAD_STALL_TIMEOUT_S = 2.0
+"""Seconds for which a leader's load may make no progress: longer than one page takes in a slow
+store."""
+LOAD_DELAY_FACTOR = 4.0
+"""Factor on a member's claim delay when the load has stalled: each claimant reads the whole
+persistent state first, so the claims are spread further apart."""
+MAX_LOAD_TIMEOUT_DOUBLINGS = 3
+"""Each consecutive leader that fails to finish loading doubles the time that the next one has for a
+page, at most this many times: in a store where no load can be faster, replacing leaders would only
+discard loads."""
+LATE_THRESHOLD_S = 0.1
+"""Seconds above which an answer counts as late: 20 times the usual response time."""
+LATENCY_FACTOR = 3.0
+"""Multiple of the recent response time by which a leader with late answers may be silent beyond the
+usual timeout. The queue of an overloaded link or core grows from answer to answer, whereas a leader
+that has failed stops at once."""
+MAX_EXTRA_SILENCE_S = 1.0
+"""Maximum number of seconds by which late answers extend the timeout: callers are refused during
+this time if the leader has failed."""
+LATENCY_DECAY = 0.9
+"""Factor applied to the remembered response time with each answer: it halves within a second."""
+ISOLATED_TIMEOUT_S = 4.0
+"""Seconds of silence after which a member that reaches no other member claims nevertheless."""
 
 
 class ClaimReason:
@@ -56,39 +63,41 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """What a member has seen of the leader of one epoch; all times are local seconds."""
+    """What a member has observed of the leader of one epoch; all times are local seconds."""
 
     since: float
     """When this leader became known here."""
     unled: int = 0
-    """How many leaders in a row before it were not heard to lead."""
+    """Number of consecutive leaders before it that were never heard to lead."""
     heard_at: float = NEVER
     refused_since: float = NEVER
     idle_since: float = NEVER
     store_lost_since: float = NEVER
     store_silent: float = 0.0
-    """For how long the store owed the leader an answer when it was last heard."""
+    """Seconds for which the store's answer to the leader was overdue at the last pong."""
     loaded: int = -1
-    """How far its load was when it last got on."""
+    """The position of its load when it last made progress."""
     load_stuck_since: float = NEVER
-    """When its load last got on; ``NEVER`` while it does not load."""
-    took: float = 0.0
-    """Seconds that its answers took of late, at most; earlier ones count less and less."""
+    """When its load last made progress; ``NEVER`` while it is not loading."""
+    latency: float = 0.0
+    """Decaying maximum of the recent response times in seconds."""
 
-    def heard(self, pong: Pong, now: float, took: float = 0.0) -> None:
-        """Take an answer of the leader that took some seconds."""
+    def heard(self, pong: Pong, now: float, latency: float = 0.0) -> None:
+        """Record an answer of the leader that took ``latency`` seconds."""
         self.heard_at = now
-        self.took = max(took, self.took * LATE_FADES)
+        self.latency = max(latency, self.latency * LATENCY_DECAY)
         self.refused_since = NEVER
-        busy = pong.leading or pong.loading
-        self.idle_since = NEVER if busy else self._first(self.idle_since, now)
+        active = pong.leading or pong.loading
+        self.idle_since = NEVER if active else self._since_or_now(self.idle_since, now)
         self.store_silent = pong.store_silent
-        lost = pong.leading and pong.store_silent > STORE_LOST_AFTER
-        self.store_lost_since = self._first(self.store_lost_since, now) if lost else NEVER
-        self._load_told(pong, now)
-
-    def _load_told(self, pong: Pong, now: float) -> None:
-        """Take how far the leader's load is; one of an earlier release does not tell."""
+        store_lost = pong.leading and pong.store_silent > STORE_LOST_TIMEOUT_S
+        self.store_lost_since = (
+            self._since_or_now(self.store_lost_since, now) if store_lost else NEVER
+        )
+        self._record_load(pong, now)
+
+    def _record_load(self, pong: Pong, now: float) -> None:
+        """Record the position of the leader's load; an earlier release does not report it."""
         if not pong.loading or pong.loaded < 0:
             self.load_stuck_since = NEVER
         elif pong.loaded > self.loaded:
@@ -96,45 +105,49 @@
         self.loaded = pong.loaded
 
     def lateness(self) -> float:
-        """Return the seconds that the next answer may take beyond the usual."""
-        return min(MOST_LATE, LATE_FACTOR * self.took) if self.took > LATE else 0.0
+        """Return the seconds by which the next answer may exceed the usual timeout."""
+        return (
+            min(MAX_EXTRA_SILENCE_S, LATENCY_FACTOR * self.latency)
+            if self.latency > LATE_THRESHOLD_S
+            else 0.0
+        )
 
     def refused(self, now: float) -> None:
-        """Take that nothing listens at the leader's address."""
-        self.refused_since = self._first(self.refused_since, now)
+        """Record that connections to the leader's address are refused."""
+        self.refused_since = self._since_or_now(self.refused_since, now)
 
     @staticmethod
-    def _first(since: float, now: float) -> float:
+    def _since_or_now(since: float, now: float) -> float:
         return now if since == NEVER else since
 
     def heard_age(self, now: float) -> float:
-        """Return for how many seconds the leader has not been heard."""
+        """Return the seconds since the leader was last heard."""
         return now - max(self.heard_at, self.since)
 
-    def reason(self, now: float, patience: float) -> str | None:
-        """Return why to claim now, or ``None``; ``patience`` (seconds) differs by member."""
-        silent = self.heard_age(now)
-        if self.refused_since != NEVER and now - self.refused_since > REFUSED_AFTER + patience:
+    def reason(self, now: float, delay: float) -> str | None:
+        """Return the reason to claim now, or ``None``; ``delay`` (seconds) differs by member."""
+        silence = self.heard_age(now)
+        if self.refused_since != NEVER and now - self.refused_since > REFUSED_TIMEOUT_S + delay:
             return ClaimReason.REFUSED
-        if silent > SILENT_AFTER + self.lateness() + patience:
+        if silence > SILENCE_TIMEOUT_S + self.lateness() + delay:
             return ClaimReason.SILENT
-        if self.idle_since != NEVER and now - self.idle_since > IDLE_AFTER + patience:
+        if self.idle_since != NEVER and now - self.idle_since > IDLE_TIMEOUT_S + delay:
             return ClaimReason.IDLE
-        if self.store_lost_since != NEVER and now - self.store_lost_since > patience:
+        if self.store_lost_since != NEVER and now - self.store_lost_since > delay:
             return ClaimReason.STORE_LOST
-        if self.load_stuck(now, patience):
+        if self.load_stuck(now, delay):
             return ClaimReason.LOAD_STUCK
         return None
 
-    def load_stuck(self, now: float, patience: float) -> bool:
-        """Tell whether the leader's load has not got on for too long."""
-        allowed: float = LOAD_STUCK_AFTER * 2 ** min(self.unled, MOST_DOUBLINGS)
-        return self.load_stuck_for(now) > allowed + LOAD_SPREAD * patience
+    def load_stuck(self, now: float, delay: float) -> bool:
+        """Return whether the leader's load has made no progress for too long."""
+        timeout: float = LOAD_STALL_TIMEOUT_S * 2 ** min(self.unled, MAX_LOAD_TIMEOUT_DOUBLINGS)
+        return self.load_stuck_for(now) > timeout + LOAD_DELAY_FACTOR * delay
 
     def load_stuck_for(self, now: float) -> float:
-        """Return for how many seconds the leader's load has not got on."""
+        """Return the seconds for which the leader's load has made no progress."""
         return 0.0 if self.load_stuck_since == NEVER else now - self.load_stuck_since
 
     def alone_too_long(self, now: float) -> bool:
-        """Tell whether a claim is due though no other member could be asked."""
-        return self.heard_age(now) > ALONE_AFTER
+        """Return whether a claim is due although no other member could be asked."""
+        return self.heard_age(now) > ISOLATED_TIMEOUT_S
