--- a/src/sablemount/control/background.py
+++ b/src/sablemount/control/background.py
@@ -1,4 +1,4 @@
-"""Work that goes on beside its owner, who does not wait for it."""
+"""Background tasks that their owner does not wait for."""
 
 import asyncio
 import logging
@@ -9,33 +9,33 @@
 
 
 class Background:
-    """Holds tasks while they last, since an event loop does not.
+    """Holds references to tasks until they are done, since an event loop holds only weak ones.
 
-    ``on_error`` takes what a task has raised.
+    ``on_error`` receives the exceptions that tasks raise.
     """
 
     def __init__(self, on_error: Callable[[BaseException], None]) -> None:
         self._on_error = on_error
         self._tasks: dict[asyncio.Task[None], None] = {}
-        """In the order in which they began, so that they end in one order each time."""
+        """In order of their start, so that they are cancelled in a deterministic order."""
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
-        """Begin some work and return its task."""
+        """Start a coroutine as a task and return the task."""
         task = asyncio.get_running_loop().create_task(work)
         self.keep(task)
         return task
 
     def keep(self, task: "asyncio.Task[None]") -> None:
-        """Hold a task that was begun elsewhere."""
+        """Hold a task that was started elsewhere."""
         self._tasks[task] = None
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
 
     def close(self) -> None:
-        """Cancel all that still goes on."""
+        """Cancel all tasks that are still running."""
         for task in list(self._tasks):
             task.cancel()
 
-    def _ended(self, task: "asyncio.Task[None]") -> None:
+    def _on_done(self, task: "asyncio.Task[None]") -> None:
         self._tasks.pop(task, None)
         error = None if task.cancelled() else task.exception()
         if error is not None:
@@ -43,9 +43,9 @@
 
 
 def error_logger(logger: logging.Logger) -> Callable[[BaseException], None]:
-    """Return what writes an error to a logger."""
+    """Return a function that logs an exception with a logger."""
 
-    def write(error: BaseException) -> None:
+    def log_error(error: BaseException) -> None:
         logger.error("internal error", exc_info=error)
 
-    return write
+    return log_error
--- a/src/sablemount/control/clock.py
+++ b/src/sablemount/control/clock.py
@@ -1,5 +1,5 @@
-"""The clocks of a process. Durations are measured by the event loop's clock, so that a test may
-run the whole in virtual time."""
+"""Clocks of a process. Durations are measured on the event loop's clock, so that tests can run in
+virtual time."""
 
 import asyncio
 import contextlib
@@ -11,24 +11,24 @@
 
 
 def monotonic() -> float:
-    """Return the running event loop's time in seconds; it never goes back."""
+    """Return the running event loop's time in seconds; it never decreases."""
     return asyncio.get_running_loop().time()
 
 
 async def set_within(event: asyncio.Event, seconds: float) -> None:
-    """Wait until an event is set, for some seconds at most."""
+    """Wait until an event is set, for at most some seconds."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(seconds):
             await event.wait()
 
 
 class LoopClock:
-    """Reads the event loop's clock, and the machine's time of day."""
+    """Reads the event loop's clock and the system's wall clock."""
 
     def monotonic(self) -> float:
-        """Return local monotonic seconds."""
+        """Return the local monotonic time in seconds."""
         return monotonic()
 
     def wall_ms(self) -> float:
-        """Return the time of day in ms since 1970."""
+        """Return the wall-clock time in milliseconds since 1970."""
         return time.time() * MS
--- a/src/sablemount/control/election.py
+++ b/src/sablemount/control/election.py
@@ -1,4 +1,4 @@
-"""When this member claims the leadership, and how."""
+"""Leader election: when and how this member claims the leadership."""
 
 import asyncio
 import logging
@@ -32,52 +32,59 @@
 __all__ = ["Election"]
 
 LEADER_KEY = "leader"
-VIEW_FRESH = 0.5
-"""A member that has heard the leader within these seconds speaks against a claim."""
-CLAIM_TIMEOUT = 1.0
-"""Seconds that one try of a claim, or a look, waits for its answer."""
-CLAIM_INTERVAL = 0.35
-"""Seconds after which a claim, or a look, is made again while there is no answer."""
-CLAIM_LIMIT = 1.4
-"""Seconds after which a claim without an answer is given up and begun anew."""
-CLAIM_PAUSE = 0.3
-"""Seconds between two claims of one member, on average."""
-LOOK_GROWTH = 1.5
-"""How many times longer than the one before each pause between looks for a later leader is."""
-MOST_LOOK_PAUSE = 4.0
-"""Seconds between two such looks in the end, on average: the end of an outage is seen soon."""
-PATIENCE = 0.15
-"""Members wait for a random time up to this many seconds, so that few claim at once."""
-FIRST_CLAIM = 0.1
+VIEW_MAX_AGE_S = 0.5
+"""A member that has heard the leader within this many seconds objects to a claim."""
+CLAIM_TIMEOUT_S = 1.0
+"""Seconds that one attempt to claim, or to read the leader topic, waits for its answer."""
+CLAIM_RETRY_INTERVAL_S = 0.35
+"""Seconds without an answer after which the attempt is repeated."""
+CLAIM_DEADLINE_S = 1.4
+"""Seconds without an answer after which a claim is abandoned; a later one starts afresh."""
+CLAIM_PAUSE_S = 0.3
+"""Average seconds between two claims of one member."""
+POLL_PAUSE_FACTOR = 1.5
+"""Factor by which the pause between polls for a later leader grows."""
+MAX_POLL_PAUSE_S = 4.0
+"""Longest average pause between these polls in seconds: the end of an outage is still noticed
+soon."""
+MAX_CLAIM_JITTER_S = 0.15
+"""Members wait for a random time of up to this many seconds, so that few claim at once."""
+FIRST_CLAIM_DELAY_S = 0.1
 """Seconds after its start before which a member does not claim the first leadership."""
-STORE_TRIAL = 0.4
-"""Seconds that the store has to answer a member that finds the leader without it."""
-QUICK_ANSWER = 0.15
-"""Seconds within which the store answers a member, if it is well: 40 times a usual answer."""
-SLOW_STORE_SILENT = 2.0
-"""Seconds for which a store that is slow for this member too may owe the leader an answer."""
-STORE_SECOND_LOOK = 0.16
-"""Seconds that the leader has to answer once more, before a claim is made for its store."""
-STORE_BACK_GRACE = 0.8
-"""Seconds after the store last failed to answer this member for which a leader without it is not
-to blame: it asks each 0.35 s, and its next pong tells a member within 0.15 s."""
-SLOW_STORE_STUCK = 8.0
-"""Seconds for which a load may not get on in a store that is slow for this member too: twice the
-time after which a page is given up."""
-STORE_BACK_LOAD = 2.0
-"""Seconds after the store last failed to answer this member for which a leader's load that does not
-get on is not to blame."""
-READ_LOOK = 0.25
-"""Seconds that a look at whether all is read waits for it; a usual load takes a tenth."""
-REST_AFTER_LEADING = 3.5
-"""Seconds for which a former leader leaves the lead to others, so that no turns are taken."""
-VIEWS_ASKED = 5
-"""Members asked for their view of the leader: of a leader that two thirds of the members hear, all
-of five miss it in 1 of 243 doubts; asking all costs the square of their number."""
-VIEWS_ENOUGH = 3
-"""Views that agree are enough: one that is lost with the leader would be waited for in vain."""
-FROM_AFAR = (ClaimReason.SILENT, ClaimReason.REFUSED)
-"""Reasons that may lie with this member's own connection, so that others are asked."""
+STORE_PROBE_TIMEOUT_S = 0.4
+"""Seconds that the store has to answer the probe of a member whose leader reports it
+unavailable."""
+FAST_ANSWER_S = 0.15
+"""Seconds within which a healthy store answers a member: 40 times the usual response time."""
+SLOW_STORE_SILENCE_S = 2.0
+"""Seconds for which an answer to the leader may be overdue if the store is slow for this member
+too."""
+LEADER_RECHECK_TIMEOUT_S = 0.16
+"""Seconds that the leader has to answer one more ping before a claim is made for its lost store or
+stalled load."""
+STORE_RECOVERY_GRACE_S = 0.8
+"""Seconds after the store last failed to answer this member for which a leader that lacks the store
+is not replaced: the leader retries every 0.35 s, and its next pong reaches a member within 0.15
+s."""
+SLOW_STORE_LOAD_STALL_S = 8.0
+"""Seconds for which a load may make no progress if the store is slow for this member too: twice the
+time after which a read of a page is abandoned."""
+STORE_RECOVERY_LOAD_GRACE_S = 2.0
+"""Seconds after the store last failed to answer this member for which a leader is not replaced for
+a stalled load."""
+PRELOAD_WAIT_S = 0.25
+"""Seconds to wait for the preload before a claim; a usual load takes a tenth of it."""
+COOLDOWN_AFTER_LEADING_S = 3.5
+"""Seconds for which a previous leader leaves the leadership to others, so that two members do not
+alternate."""
+MAX_VIEWS_REQUESTED = 5
+"""Members asked for their view of the leader. If two thirds of the members hear a leader, all five
+miss it in 1 of 243 suspicions; asking all members would cost quadratically many calls."""
+SUFFICIENT_VIEWS = 3
+"""Agreeing views that suffice: waiting for a member that failed together with the leader would be
+in vain."""
+UNCERTAIN_REASONS = (ClaimReason.SILENT, ClaimReason.REFUSED)
+"""Reasons that may be due to this member's own connection, so that others are asked."""
 
 _logger = logging.getLogger("sablemount.control.election")
 _ENCODER = msgspec.msgpack.Encoder()
@@ -85,17 +92,17 @@
 
 
 class Position(msgspec.Struct, frozen=True):
-    """The last leadership known here, and where the leaders' topic ended with it."""
+    """The last leadership known here, and the end offset of the leader topic after it."""
 
     epoch: int
     end: int
 
 
-class Doubt(msgspec.Struct, frozen=True):
-    """Why a claim may be due, and the leadership that the reason was formed on.
+class ClaimGrounds(msgspec.Struct, frozen=True):
+    """Why a claim may be due, and the leadership that the reason refers to.
 
-    Once the position has moved the doubt is void: it says nothing of a later leader. So it is once
-    the leader has answered and gives no reason any more.
+    The grounds are stale once the position has moved, since they say nothing about a later leader,
+    and once the leader has answered and no reason remains.
     """
 
     reason: str
@@ -103,11 +110,11 @@
 
 
 class Election:
-    """Reads the leader's records and writes the next one when that is due.
+    """Reads the leader records and writes the next one when a claim is due.
 
-    ``on_leader`` is told of each newer record, and ``on_won`` of the epoch that this member has
-    won. ``read`` begins to read what lasts, as a claim is about to be made. ``well`` tells whether
-    this member's own reads of the store have been answered of late.
+    ``on_leader`` receives each newer record, and ``on_won`` the epoch that this member has won.
+    ``start_preload`` starts to read the persistent state before a claim. ``reads_succeed`` returns
+    whether the store has answered this member's own reads recently.
     """
 
     def __init__(
@@ -119,8 +126,8 @@
         figures: Figures,
         on_leader: Callable[[LeaderRecord], None],
         on_won: Callable[[int], None],
-        read: "Callable[[], asyncio.Task[Reading | None]]",
-        well: Callable[[], bool],
+        start_preload: "Callable[[], asyncio.Task[Reading | None]]",
+        reads_succeed: Callable[[], bool],
     ) -> None:
         self._settings = settings
         self._store = store
@@ -129,43 +136,44 @@
         self._figures = figures
         self._on_leader = on_leader
         self._on_won = on_won
-        self._read = read
-        self._well = well
-        self._reading: asyncio.Task[Reading | None] | None = None
-        """What this member reads before it claims, where it may not be able to."""
+        self._start_preload = start_preload
+        self._reads_succeed = reads_succeed
+        self._preload_task: asyncio.Task[Reading | None] | None = None
+        """The preload that precedes a claim where this member may be unable to read the store."""
         self._incarnation = uuid.UUID(int=rng.getrandbits(128)).hex
         self._started_at = monotonic()
-        self._chance = rng.uniform(0.0, PATIENCE)
+        self._claim_jitter = rng.uniform(0.0, MAX_CLAIM_JITTER_S)
         self._end = 0
-        """Where the topic ended when this member last read it."""
-        self._known = False
-        self._passed: Position | None = None
-        """Where a claim was refused because the topic had gone on: none made there can succeed."""
-        self._look_pause = CLAIM_PAUSE
-        self._look_at = 0.0
-        self._asked_by: int | None = None
+        """End offset of the topic when this member last read it."""
+        self._topic_read = False
+        self._conflict_position: Position | None = None
+        """Position at which a claim was refused because the topic had advanced: no claim made there
+        can succeed."""
+        self._poll_pause = CLAIM_PAUSE_S
+        self._next_poll_at = 0.0
+        self._takeover_epoch: int | None = None
         """Epoch of the leader that has asked this member to take over."""
         self._store_failed_at = NEVER
-        """When the store last gave no answer, or a slow one, to this member's own trial."""
-        self._won = 0
+        """When the store last gave no answer, or a slow one, to a probe of this member."""
+        self._won_epoch = 0
         """The last epoch that this member has won."""
-        self._rest_until = 0.0
-        self._pause_until = 0.0
+        self._cooldown_until = 0.0
+        self._paused_until = 0.0
 
     # -- Records -----------------------------------------------------------------------------
 
     def listed(self, items: Sequence[PageItem], end: int) -> None:
-        """Take the newest records of the topic."""
-        self._known = True
+        """Process the newest records of the topic."""
+        self._topic_read = True
         self.told([item.record for item in items], end)
 
     def told(self, records: Sequence[Record], end: int) -> None:
-        """Take records of the topic, and where it ends."""
+        """Process records of the topic, and its end offset."""
         self._end = end
         for record in records:
-            self._seen(record)
+            self._process_record(record)
 
-    def _seen(self, record: Record) -> None:
+    def _process_record(self, record: Record) -> None:
         if record.key != LEADER_KEY or not record.value:
             return
         try:
@@ -174,165 +182,171 @@
             _logger.warning("undecodable leader record")
             return
         self._on_leader(seen)
-        # The answer to a claim may come late, or be that of a second try, which is refused.
-        self._lead_if_mine(seen.epoch)
+        # The answer to a claim may arrive late, or belong to a retry, which is refused.
+        self._lead_if_won(seen.epoch)
 
     # -- Whether to claim --------------------------------------------------------------------
 
     def asked(self, epoch: int) -> None:
-        """Take that the leader of an epoch has asked this member to take over."""
-        self._asked_by = epoch
-        self._pause_until = 0.0
+        """Record that the leader of an epoch has asked this member to take over."""
+        self._takeover_epoch = epoch
+        self._paused_until = 0.0
 
     def rest(self) -> None:
-        """Leave the lead to others for a while: this member has just led."""
-        self._rest_until = monotonic() + REST_AFTER_LEADING
+        """Leave the leadership to others for a while: this member has just led."""
+        self._cooldown_until = monotonic() + COOLDOWN_AFTER_LEADING_S
 
     async def consider(self) -> None:
         """Claim if that is due, unless others still hear the leader."""
         if self._link.leads:
-            self._reading = None
-        reason = self._reason()
+            self._preload_task = None
+        reason = self._claim_reason()
         if reason is None:
             return
-        doubt = Doubt(reason, self._position())
-        if doubt.at == self._passed:
-            await self._look_for_later()
+        grounds = ClaimGrounds(reason, self._position())
+        if grounds.at == self._conflict_position:
+            await self._poll_for_later_leader()
             return
-        if not await self._confirmed(reason):
-            self._pause_until = monotonic() + CLAIM_PAUSE
+        if not await self._verified(reason):
+            self._paused_until = monotonic() + CLAIM_PAUSE_S
             return
-        if self._void(doubt):
+        if self._are_stale(grounds):
             self._figures.count("doubt dropped", reason)
             return
-        self._asked_by = None
-        await self._claim(doubt)
+        self._takeover_epoch = None
+        await self._claim(grounds)
 
-    def _void(self, doubt: Doubt) -> bool:
-        """Tell whether a doubt holds no more: a later leader is there, or this one was heard."""
-        return self._position() != doubt.at or self._reason() is None
+    def _are_stale(self, grounds: ClaimGrounds) -> bool:
+        """Return whether the grounds are outdated: there is a later leader, or this one was
+        heard."""
+        return self._position() != grounds.at or self._claim_reason() is None
 
     def _position(self) -> Position:
-        """Return where the next claim is due: a record that others told says where it ends."""
+        """Return the position of the next claim; the end offset may come from another member's
+        record."""
         record = self._link.record
         return Position(self._link.epoch, max(self._end, 0 if record is None else record.end))
 
-    def _patience(self) -> float:
+    def _claim_delay(self) -> float:
         """Return the seconds for which this member leaves a claim to others."""
-        return self._chance + claim_delay(self._settings.standing, self._link.best)
+        return self._claim_jitter + claim_delay(self._settings.standing, self._link.best)
 
-    def _reason(self) -> str | None:
+    def _claim_reason(self) -> str | None:
         now = monotonic()
-        if not self._known or now < self._pause_until:
+        if not self._topic_read or now < self._paused_until:
             return None
-        if self._asked_by is not None and self._asked_by == self._link.epoch:
+        if self._takeover_epoch is not None and self._takeover_epoch == self._link.epoch:
             return ClaimReason.ASKED
         record = self._link.record
         if record is None:
-            waited = now - self._started_at > FIRST_CLAIM + self._patience()
+            waited = now - self._started_at > FIRST_CLAIM_DELAY_S + self._claim_delay()
             return ClaimReason.NO_LEADER if waited else None
-        resting = now < self._rest_until
+        cooling_down = now < self._cooldown_until
         if record.name == self._settings.name:
-            return None if resting else ClaimReason.OWN_FORMER_LIFE
+            return None if cooling_down else ClaimReason.OWN_FORMER_LIFE
         suspicion = self._link.suspicion
-        if resting and not suspicion.alone_too_long(now):
+        if cooling_down and not suspicion.alone_too_long(now):
             return None
-        return suspicion.reason(now, self._patience())
-
-    async def _confirmed(self, reason: str) -> bool:
-        """Tell whether what this member can find out speaks for the claim."""
-        if reason in FROM_AFAR:
-            return (self._well() or await self._has_read()) and await self._others_agree()
+        return suspicion.reason(now, self._claim_delay())
+
+    async def _verified(self, reason: str) -> bool:
+        """Return whether the checks available to this member support the claim."""
+        if reason in UNCERTAIN_REASONS:
+            return (
+                self._reads_succeed() or await self._preloaded()
+            ) and await self._members_agree()
         if reason == ClaimReason.STORE_LOST:
-            return await self._store_reached()
+            return await self._store_reachable()
         if reason == ClaimReason.LOAD_STUCK:
-            return await self._store_well() and await self._has_read()
+            return await self._store_healthy() and await self._preloaded()
         return True
 
-    async def _has_read(self) -> bool:
-        """Tell whether this member has read all that lasts, and see how the leader is then.
+    async def _preloaded(self) -> bool:
+        """Return whether this member has read the persistent state; ping the leader once more if
+        so.
 
-        A member that can't would only take its turn in vain.
+        A member that cannot read it would fail to lead, so that its claim would only cost time.
         """
-        if self._reading is None:
-            self._reading = self._read()
-        await asyncio.wait([self._reading], timeout=READ_LOOK)
-        if not self._reading.done():
+        if self._preload_task is None:
+            self._preload_task = self._start_preload()
+        await asyncio.wait([self._preload_task], timeout=PRELOAD_WAIT_S)
+        if not self._preload_task.done():
             return False
-        if self._reading.result() is None:
-            self._reading = None
+        if self._preload_task.result() is None:
+            self._preload_task = None
             self._store_failed_at = monotonic()
             return False
-        await self._link.look(STORE_SECOND_LOOK)
+        await self._link.look(LEADER_RECHECK_TIMEOUT_S)
         return True
 
-    async def _store_well(self) -> bool:
-        """Tell whether a load has been possible here while the leader's has not got on."""
+    async def _store_healthy(self) -> bool:
+        """Return whether a load was possible here while the leader's load made no progress."""
         began = monotonic()
-        page = await self._page(CLAIM_TIMEOUT)
+        page = await self._read_page(CLAIM_TIMEOUT_S)
         now = monotonic()
         if page is None:
             self._store_failed_at = now
             return False
         self.listed(page.items, page.end)
-        slow = now - began > QUICK_ANSWER
-        if slow and self._link.suspicion.load_stuck_for(now) < SLOW_STORE_STUCK:
+        slow = now - began > FAST_ANSWER_S
+        if slow and self._link.suspicion.load_stuck_for(now) < SLOW_STORE_LOAD_STALL_S:
             return False
-        return now - self._store_failed_at >= STORE_BACK_LOAD
+        return now - self._store_failed_at >= STORE_RECOVERY_LOAD_GRACE_S
 
     def take_reading(self) -> "asyncio.Task[Reading | None] | None":
-        """Return what was read before a claim, and forget it; ``None`` without that."""
-        reading, self._reading = self._reading, None
+        """Return the preload that precedes a claim and clear it; ``None`` if there is none."""
+        reading, self._preload_task = self._preload_task, None
         return reading
 
-    async def _store_reached(self) -> bool:
-        """Tell whether the store answers here while the leader is still without it."""
+    async def _store_reachable(self) -> bool:
+        """Return whether the store answers here while the leader still cannot reach it."""
         began = monotonic()
-        page = await self._page(STORE_TRIAL)
+        page = await self._read_page(STORE_PROBE_TIMEOUT_S)
         if page is None:
             self._store_failed_at = monotonic()
             return False
         self.listed(page.items, page.end)
         now = monotonic()
-        if now - began > QUICK_ANSWER and self._link.suspicion.store_silent < SLOW_STORE_SILENT:
-            # What the leader has sent to a slow store is still due as the store gets well.
+        if now - began > FAST_ANSWER_S and self._link.suspicion.store_silent < SLOW_STORE_SILENCE_S:
+            # Requests that the leader sent to a slow store may still be unanswered as the store
+            # recovers.
             self._store_failed_at = now
             return False
-        if now - self._store_failed_at < STORE_BACK_GRACE:
+        if now - self._store_failed_at < STORE_RECOVERY_GRACE_S:
             return False
-        # A store that has come back answers the leader too: its next answer tells.
-        await self._link.look(STORE_SECOND_LOOK)
+        # A store that has recovered also answers the leader, whose next pong then shows it.
+        await self._link.look(LEADER_RECHECK_TIMEOUT_S)
         return self._link.suspicion.store_lost_since > 0
 
-    async def _others_agree(self) -> bool:
-        """Ask some other members whether they hear the leader."""
+    async def _members_agree(self) -> bool:
+        """Ask some other members whether they hear the leader; return whether none of them does."""
         epoch = self._link.epoch
         others = self._link.other_members()
-        asked = self._rng.sample(others, min(VIEWS_ASKED, len(others)))
+        asked = self._rng.sample(others, min(MAX_VIEWS_REQUESTED, len(others)))
         pending = {asyncio.ensure_future(self._link.view(address)) for address in asked}
-        agree = 0
+        agreeing = 0
         try:
-            while pending and agree < VIEWS_ENOUGH:
+            while pending and agreeing < SUFFICIENT_VIEWS:
                 ended, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
                 views = [view for call in ended if (view := call.result()) is not None]
-                if any(_speaks_for(view, epoch) for view in views):
+                if any(_supports_leader(view, epoch) for view in views):
                     return False
-                agree += len(views)
+                agreeing += len(views)
         finally:
             for call in pending:
                 call.cancel()
-        return agree > 0 or not others or self._link.suspicion.alone_too_long(monotonic())
+        return agreeing > 0 or not others or self._link.suspicion.alone_too_long(monotonic())
 
     # -- The claim ---------------------------------------------------------------------------
 
-    async def _claim(self, doubt: Doubt) -> None:
-        """Write the next leader record where the topic ended when the doubt was formed.
+    async def _claim(self, grounds: ClaimGrounds) -> None:
+        """Write the next leader record at the end offset that the grounds refer to.
 
-        Only one claim can do so, and none that was formed on an earlier leadership.
+        Only one claim can succeed there, and none whose grounds refer to an earlier leadership.
         """
-        if self._reading is None:
-            self._read()
-        at = doubt.at
+        if self._preload_task is None:
+            self._start_preload()
+        at = grounds.at
         epoch = at.epoch + 1
         settings = self._settings
         claim = LeaderRecord(
@@ -340,65 +354,70 @@
         )
         record = Record(LEADER_KEY, _ENCODER.encode(claim))
         heard_ago = round(self._link.suspicion.heard_age(monotonic()), 3)
-        result = await hedged(lambda: self._append(record, at.end), CLAIM_INTERVAL, CLAIM_LIMIT)
+        result = await hedged(
+            lambda: self._append(record, at.end), CLAIM_RETRY_INTERVAL_S, CLAIM_DEADLINE_S
+        )
         won = isinstance(result, Appended)
-        self._figures.count("claim", doubt.reason)
+        self._figures.count("claim", grounds.reason)
         _logger.info(
             "claim",
             extra={
                 "epoch": epoch,
-                "why": doubt.reason,
+                "why": grounds.reason,
                 "heard_ago": heard_ago,
                 "won": won,
                 "answer": repr(result),
             },
         )
-        self._pause_until = monotonic() + CLAIM_PAUSE * self._rng.uniform(0.5, 1.5)
+        self._paused_until = monotonic() + CLAIM_PAUSE_S * self._rng.uniform(0.5, 1.5)
         if won:
-            # The record may have been read before the answer to the claim came.
+            # The record may have been read before the answer to the claim arrived.
             self._on_leader(claim)
         else:
             if isinstance(result, Conflict) and result.end > at.end:
-                self._passed = at
-                self._look_pause = CLAIM_PAUSE
-                self._look_at = self._pause_until
-            # The topic's end may have moved, or the claim may be there though its answer is lost.
-            await self._look_again()
-        self._lead_if_mine(epoch)
+                self._conflict_position = at
+                self._poll_pause = CLAIM_PAUSE_S
+                self._next_poll_at = self._paused_until
+            # The topic may have advanced, or the claim may be stored although its answer was lost.
+            await self._poll_leader_topic()
+        self._lead_if_won(epoch)
 
     async def _append(self, record: Record, end: int) -> AppendResult | None:
-        """Append the claim; made twice, it is refused the second time and found by a look."""
-        result = await self._store.append(Topic.LEADER, [record], CLAIM_TIMEOUT, at=end)
+        """Append the claim; a duplicate is refused, and the first one is then found by reading the
+        topic."""
+        result = await self._store.append(Topic.LEADER, [record], CLAIM_TIMEOUT_S, at=end)
         return None if isinstance(result, Unavailable) else result
 
-    async def _look_for_later(self) -> None:
-        """Look for the leadership that a claim has met, at growing intervals."""
-        if monotonic() < self._look_at:
+    async def _poll_for_later_leader(self) -> None:
+        """Poll for the later leadership that a claim conflicted with, at growing intervals."""
+        if monotonic() < self._next_poll_at:
             return
-        await self._look_again()
-        self._look_at = monotonic() + self._look_pause * self._rng.uniform(0.5, 1.5)
-        self._look_pause = min(MOST_LOOK_PAUSE, self._look_pause * LOOK_GROWTH)
+        await self._poll_leader_topic()
+        self._next_poll_at = monotonic() + self._poll_pause * self._rng.uniform(0.5, 1.5)
+        self._poll_pause = min(MAX_POLL_PAUSE_S, self._poll_pause * POLL_PAUSE_FACTOR)
 
-    async def _look_again(self) -> None:
-        page = await hedged(lambda: self._page(CLAIM_TIMEOUT), CLAIM_INTERVAL, CLAIM_LIMIT)
+    async def _poll_leader_topic(self) -> None:
+        page = await hedged(
+            lambda: self._read_page(CLAIM_TIMEOUT_S), CLAIM_RETRY_INTERVAL_S, CLAIM_DEADLINE_S
+        )
         if page is not None:
             self.listed(page.items, page.end)
 
-    async def _page(self, timeout: float) -> Page | None:
+    async def _read_page(self, timeout: float) -> Page | None:
         page = await self._store.newest(Topic.LEADER, "", timeout)
         return None if isinstance(page, Unavailable) else page
 
-    def _lead_if_mine(self, epoch: int) -> None:
+    def _lead_if_won(self, epoch: int) -> None:
         record = self._link.record
         if record is None or (record.epoch, record.incarnation) != (epoch, self._incarnation):
             return
-        if epoch > self._won:
-            self._won = epoch
+        if epoch > self._won_epoch:
+            self._won_epoch = epoch
             self._on_won(epoch)
 
 
-def _speaks_for(view: LeaderView, epoch: int) -> bool:
-    """Tell whether a member still hears the leader of an epoch, or knows a later one."""
+def _supports_leader(view: LeaderView, epoch: int) -> bool:
+    """Return whether a member still hears the leader of an epoch, or knows a later one."""
     if view.epoch > epoch:
         return True
-    return view.epoch == epoch and view.linked and view.heard_age < VIEW_FRESH
+    return view.epoch == epoch and view.linked and view.heard_age < VIEW_MAX_AGE_S
