--- a/src/sablemount/control/announcer.py
+++ b/src/sablemount/control/announcer.py
@@ -1,4 +1,5 @@
-"""Tells the members that have not come to a new leader who leads: they may not reach the store."""
+"""Announces a new leader to the members that have not connected to it: they may not reach the
+store."""
 
 import asyncio
 import logging
@@ -10,16 +11,16 @@
 
 __all__ = ["announce"]
 
-FIRST_AFTER = 0.05
-"""Seconds after it leads by which members that read the store have come by themselves: they learn
-of a claim within 10 ms and ping a new leader each 20 ms."""
+INITIAL_DELAY_S = 0.05
+"""Seconds after the load within which members that can read the store have connected by themselves:
+they learn of a claim within 10 ms and ping a new leader every 20 ms."""
 ROUNDS = 4
-ROUND_INTERVAL = 0.2
-"""Seconds between two rounds: a member may be starting, or cut off for a moment."""
-CALL_TIMEOUT = 0.2
-"""Seconds that a member has to take it: 100 times the way between two zones."""
-AT_ONCE = 16
-"""Calls at once: each takes some processor time of a leader whom callers wait for."""
+ROUND_INTERVAL_S = 0.2
+"""Seconds between two rounds: a member may be starting, or be cut off for a moment."""
+CALL_TIMEOUT_S = 0.2
+"""Seconds that a member has to answer: 100 times the round trip between two zones."""
+MAX_CONCURRENT_CALLS = 16
+"""Concurrent calls: each takes processor time of a leader whom callers are waiting for."""
 
 _logger = logging.getLogger("sablemount.control.announcer")
 
@@ -27,32 +28,33 @@
 async def announce(
     record: LeaderRecord,
     link: LeaderLink,
-    leading: Callable[[], bool],
-    heard: Callable[[], set[str]],
+    has_loaded: Callable[[], bool],
+    recently_heard: Callable[[], set[str]],
 ) -> None:
-    """Tell the members that are known and not heard of a new leader, in a few rounds.
+    """Announce a new leader, in a few rounds, to the known members that it has not heard.
 
-    ``leading`` tells whether it has loaded: only then members are heard.
+    ``has_loaded`` returns whether the leader has finished loading: members are heard only from then
+    on. ``recently_heard`` returns the names of the members that were heard.
     """
-    limit = asyncio.Semaphore(AT_ONCE)
+    limit = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
-    async def tell(address: str) -> bool:
+    async def notify(address: str) -> bool:
         async with limit:
             try:
-                await link.call_once(address, Announce(record), CALL_TIMEOUT)
+                await link.call_once(address, Announce(record), CALL_TIMEOUT_S)
             except CallFailed:
                 return False
         return True
 
-    while not leading():
-        await asyncio.sleep(FIRST_AFTER)
-    await asyncio.sleep(FIRST_AFTER)
+    while not has_loaded():
+        await asyncio.sleep(INITIAL_DELAY_S)
+    await asyncio.sleep(INITIAL_DELAY_S)
     for _ in range(ROUNDS):
-        known = heard() | {record.name}
-        away = [address for name, address in link.addresses.items() if name not in known]
-        if not away:
+        known = recently_heard() | {record.name}
+        missing = [address for name, address in link.addresses.items() if name not in known]
+        if not missing:
             return
-        told = await asyncio.gather(*(tell(address) for address in away))
-        extra = {"epoch": record.epoch, "members": len(away), "told": sum(told)}
+        notified = await asyncio.gather(*(notify(address) for address in missing))
+        extra = {"epoch": record.epoch, "members": len(missing), "told": sum(notified)}
         _logger.info("leader announced", extra=extra)
-        await asyncio.sleep(ROUND_INTERVAL)
+        await asyncio.sleep(ROUND_INTERVAL_S)
--- a/src/sablemount/control/discovery.py
+++ b/src/sablemount/control/discovery.py
@@ -1,4 +1,4 @@
-"""Finds out from other members who leads, for a member that can't read it in the store."""
+"""Finds the leader through other members, for a member that cannot read its record in the store."""
 
 import asyncio
 import random
@@ -10,51 +10,52 @@
 
 __all__ = ["Discovery"]
 
-INTERVAL = 0.1
-"""Seconds between looks at whether a leader is known."""
-ASK_AFTER = 0.5
-"""Seconds without a leader after which others are asked: a new one's record comes sooner from the
-store, if this member reaches it."""
-ASK_INTERVAL = 0.3
-"""Seconds between two rounds of questions."""
-ASKED_AT_ONCE = 3
-"""Members asked in a round: enough that one of them reaches the store, few beside a large cell."""
+POLL_INTERVAL_S = 0.1
+"""Seconds between checks whether a leader is known."""
+QUERY_DELAY_S = 0.5
+"""Seconds without a leader after which other members are queried: the record of a new leader
+arrives earlier from the store if this member can reach it."""
+QUERY_INTERVAL_S = 0.3
+"""Seconds between two rounds of queries."""
+QUERY_FANOUT = 3
+"""Members queried in a round: enough that one of them is likely to reach the store, few compared
+with a large cell."""
 
 
 class Discovery:
-    """Asks some members now and then while no leader is known here.
+    """Queries some members periodically while no leader is known here.
 
-    ``known`` tells whether a leader is known, ``on_leader`` takes a later one.
+    ``leader_known`` returns whether a leader is known, and ``on_leader`` receives a later one.
     """
 
     def __init__(
         self,
         link: LeaderLink,
         rng: random.Random,
-        known: Callable[[], bool],
+        leader_known: Callable[[], bool],
         on_leader: Callable[[LeaderRecord], None],
     ) -> None:
         self._link = link
         self._rng = rng
-        self._known = known
+        self._leader_known = leader_known
         self._on_leader = on_leader
-        self._known_at = monotonic()
+        self._last_known_at = monotonic()
 
     async def run(self) -> None:
-        """Look without end."""
+        """Check for a known leader until cancelled."""
         while True:
-            await asyncio.sleep(INTERVAL)
-            if self._known():
-                self._known_at = monotonic()
-            elif monotonic() - self._known_at > ASK_AFTER:
-                await self._ask()
-                await asyncio.sleep(ASK_INTERVAL - INTERVAL)
-
-    async def _ask(self) -> None:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            if self._leader_known():
+                self._last_known_at = monotonic()
+            elif monotonic() - self._last_known_at > QUERY_DELAY_S:
+                await self._query_members()
+                await asyncio.sleep(QUERY_INTERVAL_S - POLL_INTERVAL_S)
+
+    async def _query_members(self) -> None:
         others = self._link.other_members()
-        asked = self._rng.sample(others, min(ASKED_AT_ONCE, len(others)))
-        views = await asyncio.gather(*(self._link.view(address) for address in asked))
-        told = [view.leader for view in views if view is not None and view.leader is not None]
-        newest = max(told, key=lambda record: record.epoch, default=None)
+        queried = self._rng.sample(others, min(QUERY_FANOUT, len(others)))
+        views = await asyncio.gather(*(self._link.view(address) for address in queried))
+        reported = [view.leader for view in views if view is not None and view.leader is not None]
+        newest = max(reported, key=lambda record: record.epoch, default=None)
         if newest is not None and newest.epoch > self._link.epoch:
             self._on_leader(newest)
--- a/src/sablemount/control/hand_over.py
+++ b/src/sablemount/control/hand_over.py
@@ -1,6 +1,7 @@
-"""The planned change of leader: a leader that is being stopped asks a member to take over.
+"""Planned change of leader: a leader that is being stopped asks a member to take over.
 
-So does one on a small machine while a clearly better one is there and all is calm.
+A leader on a weak machine does so too while a clearly better one is available and the system is
+stable.
 """
 
 import asyncio
@@ -16,69 +17,76 @@
 
 __all__ = ["Successor", "hand_over", "relieve"]
 
-YIELD_TIMEOUT = 0.5
-"""Seconds that a member has to say whether it takes over."""
-HAND_OVER_LIMIT = 1.5
+TAKEOVER_REPLY_TIMEOUT_S = 0.5
+"""Seconds that a member has to answer whether it takes over."""
+HANDOVER_DEADLINE_S = 1.5
 """Seconds after which no further member is asked: a leader that is cut off reaches none, and has to
-end within its grace, 6 s by default."""
-PREPARE_TIME = 1.0
-"""Seconds for which a member that is to take over reads what lasts before it claims; two pages took
-0.8 s in a store 91 times slower than usual, in virtual time."""
-TAKE_OVER_TIME = 2.5
-"""Seconds that a leader that is being stopped waits for its successor to claim, by an append; that
-took 0.5 s in a store 91 times slower than usual, in virtual time."""
-
-RELIEF_INTERVAL = 1.0
-"""Seconds between looks at whether a better machine is there."""
-RELIEF_PAUSE = 5.0
-"""Seconds after the lead was taken, or offered in vain, until it is offered."""
-CALM_STORE = 0.1
-"""Seconds for which the store may owe an answer while all is calm: a change of leader waits for
-several of its answers."""
+end within its grace period, 6 s by default."""
+PRELOAD_TIMEOUT_S = 1.0
+"""Seconds for which a member that is to take over reads the persistent state before it claims; two
+pages took 0.8 s in a store 91 times slower than usual, in virtual time."""
+TAKEOVER_TIMEOUT_S = 2.5
+"""Seconds for which a leader that is being stopped waits for its successor to claim, which takes an
+append; that took 0.5 s in a store 91 times slower than usual, in virtual time."""
+
+RELIEF_POLL_INTERVAL_S = 1.0
+"""Seconds between checks for a better machine."""
+RELIEF_PAUSE_S = 5.0
+"""Seconds from the start of a leadership, or from an offer that was declined, until it is
+offered."""
+MAX_STORE_DELAY_S = 0.1
+"""Seconds by which an answer of the store may be overdue while the system counts as stable: a
+change of leader waits for several of its answers."""
 
 _logger = logging.getLogger("sablemount.control.member")
 
 
 async def hand_over(leader: Leader) -> None:
-    """Have another member lead if one takes over, and end a leadership."""
-    if await _asked(leader, leader.members.successors(), once_read=False):
-        # It serves and gives orders until its successor has claimed.
-        await set_within(leader.over, TAKE_OVER_TIME)
+    """Hand the leadership over if a member takes it, then end it."""
+    if await _request_takeover(leader, leader.members.successors(), once_read=False):
+        # The leader serves callers and sends requests until its successor has claimed.
+        await set_within(leader.over, TAKEOVER_TIMEOUT_S)
     if not leader.over.is_set():
         await leader.drain()
     leader.end("planned stop")
 
 
-async def relieve(leader: Leader, own: float) -> None:
-    """Offer the lead to clearly better machines than this one, of standing ``own``, as they come.
+async def relieve(leader: Leader, own_standing: float) -> None:
+    """Offer the leadership to members on clearly better machines as they become available.
 
-    It leads on if none of them takes it.
+    ``own_standing`` is the suitability of this machine. The leader stays if no member takes over.
     """
-    await asyncio.sleep(RELIEF_PAUSE)
+    await asyncio.sleep(RELIEF_PAUSE_S)
     while not leader.over.is_set():
-        better = leader.members.better(own) if _calm(leader) else []
+        better = leader.members.better(own_standing) if _is_stable(leader) else []
         if not better:
-            await asyncio.sleep(RELIEF_INTERVAL)
+            await asyncio.sleep(RELIEF_POLL_INTERVAL_S)
             continue
-        if await _asked(leader, better, once_read=True):
-            await set_within(leader.over, TAKE_OVER_TIME)
-        await asyncio.sleep(RELIEF_PAUSE)
+        if await _request_takeover(leader, better, once_read=True):
+            await set_within(leader.over, TAKEOVER_TIMEOUT_S)
+        await asyncio.sleep(RELIEF_PAUSE_S)
 
 
-def _calm(leader: Leader) -> bool:
-    return leader.authority() and not leader.closing and leader.committer.owed_for() < CALM_STORE
+def _is_stable(leader: Leader) -> bool:
+    return (
+        leader.authority()
+        and not leader.closing
+        and leader.committer.owed_for() < MAX_STORE_DELAY_S
+    )
 
 
-async def _asked(leader: Leader, members: list[tuple[str, Link]], once_read: bool) -> bool:
-    """Ask one member after the other to take over; return whether one does."""
-    last = monotonic() + HAND_OVER_LIMIT
+async def _request_takeover(
+    leader: Leader, members: list[tuple[str, Link]], once_read: bool
+) -> bool:
+    """Ask one member after the other to take over; return whether one accepts."""
+    deadline = monotonic() + HANDOVER_DEADLINE_S
     for name, link in members:
-        if monotonic() > last:
+        if monotonic() > deadline:
             break
         try:
-            reply = await link.call(TakeOver(leader.epoch, once_read), YIELD_TIMEOUT)
+            reply = await link.call(TakeOver(leader.epoch, once_read), TAKEOVER_REPLY_TIMEOUT_S)
         except CallFailed as failed:
-            _logger.info("successor not reached", extra={"to": name, "why": str(failed)})
+            _logger.info("successor unreachable", extra={"to": name, "why": str(failed)})
             continue
         taken = isinstance(reply, TakeOverReply) and reply.taken
         _logger.info("successor asked", extra={"to": name, "epoch": leader.epoch, "taken": taken})
@@ -88,38 +96,40 @@
 
 
 class Successor:
-    """Readies this member to lead when the leader asks it to.
+    """Prepares this member to lead when the leader asks it to take over.
 
-    ``prepared`` takes the epoch of that leader once the claim is to be made; ``spawn`` runs what
-    takes time.
+    ``on_prepared`` receives the epoch of that leader once the claim is to be made; ``spawn`` runs
+    the preparation in the background.
     """
 
     def __init__(
         self,
         link: LeaderLink,
         preload: Preload,
-        prepared: Callable[[int], None],
+        on_prepared: Callable[[int], None],
         spawn: Callable[[Coroutine[object, object, None]], "asyncio.Task[None]"],
     ) -> None:
         self._link = link
         self._preload = preload
-        self._prepared = prepared
+        self._on_prepared = on_prepared
         self._spawn = spawn
 
     def asked(self, message: TakeOver) -> TakeOverReply:
-        """Take over from the leader that is known here, unless this member is being stopped."""
+        """Accept a takeover from the leader known here, unless this member is being stopped."""
         record = self._link.record
-        known = record is not None and message.epoch == record.epoch
-        taken = known and not self._link.stopping
+        is_current = record is not None and message.epoch == record.epoch
+        taken = is_current and not self._link.stopping
         if taken:
             self._spawn(self._prepare(message.epoch, message.once_read))
         return TakeOverReply(taken)
 
     async def _prepare(self, epoch: int, once_read: bool) -> None:
-        """Read what lasts while the leader goes on, and claim then."""
-        reading = self._preload.begin()
-        await asyncio.wait([reading], timeout=TAKE_OVER_TIME if once_read else PREPARE_TIME)
-        if once_read and not (reading.done() and reading.result() is not None):
-            _logger.info("does not take over", extra={"epoch": epoch, "why": "records not read"})
+        """Read the persistent state while the leader continues, then claim."""
+        preload_task = self._preload.begin()
+        await asyncio.wait(
+            [preload_task], timeout=TAKEOVER_TIMEOUT_S if once_read else PRELOAD_TIMEOUT_S
+        )
+        if once_read and not (preload_task.done() and preload_task.result() is not None):
+            _logger.info("takeover declined", extra={"epoch": epoch, "why": "records not read"})
             return
-        self._prepared(epoch)
+        self._on_prepared(epoch)
--- a/src/sablemount/control/member_settings.py
+++ b/src/sablemount/control/member_settings.py
@@ -1,4 +1,4 @@
-"""What a member knows of itself."""
+"""A member's settings for itself."""
 
 import msgspec
 
@@ -9,19 +9,19 @@
 
 
 class MemberSettings(msgspec.Struct, frozen=True):
-    """What a member knows of itself; ``rpc_address`` is where others reach it."""
+    """A member's settings for itself; ``rpc_address`` is the address at which others reach it."""
 
     name: str
     rpc_address: str
     jobs: JobSettings
     limits: MachineLimits = MachineLimits()
-    """What its machine gives it: weak members leave the lead to others."""
+    """Resource limits of its machine: members on weak machines leave the leadership to others."""
     fail_closed: bool = False
     """Whether callers are refused once the configuration has not been confirmed for a while."""
     revoke_after: float = 5.0
-    """Seconds after which it counts as not confirmed."""
+    """Seconds after which the configuration counts as not confirmed."""
 
     @property
     def standing(self) -> float:
-        """Return how well its machine carries the lead."""
+        """Return the leader suitability of its machine."""
         return standing(self.limits)
--- a/src/sablemount/control/members.py
+++ b/src/sablemount/control/members.py
@@ -1,7 +1,8 @@
-"""The members that a leader hears: their links, ages and strength, and whether they are most.
+"""The members that a leader hears: their links, last pings and suitability, and whether they are a
+majority.
 
-A member follows one leader at a time. So of two leaders only one can hear most members, whoever of
-them reaches the store.
+A member follows one leader at a time. So only one of two leaders can hear a majority of the
+members, whichever of them reaches the store.
 """
 
 from dataclasses import dataclass
@@ -14,20 +15,23 @@
 
 __all__ = ["Members"]
 
-HEARD_WITHIN = 1.0
-"""Seconds within which a member was heard that counts as there."""
+RECENT_S = 1.0
+"""Seconds since its last ping for which a member counts as recently heard."""
 COUNTED_WITHIN = 5.0
-"""Seconds within which a member was heard that belongs to the cell: a restart takes up to 3 s, and
-a leader that is cut off still counts those it has just lost when the store's word has aged."""
-JOIN_TIME = 5.0
-"""Seconds after a leadership's begin within which members tell how many its predecessor counted."""
-SUCCESSOR_AGE = 0.5
+"""Seconds since its last ping for which a member belongs to the cell: a restart takes up to 3 s,
+and a leader that is cut off still counts the members that it has just lost when the store's last
+confirmation has expired."""
+JOIN_PERIOD_S = 5.0
+"""Seconds after the start of a leadership within which members report how many its predecessor
+counted."""
+MIN_SUCCESSOR_UPTIME_S = 0.5
 """Seconds since its start after which a member may be asked to take over."""
-BEST_INTERVAL = 0.1
-"""Seconds for which the best standing is kept: each member's ping asks for it."""
-SETTLED_AGE = 3.0
-"""Seconds since its start after which the lead is handed to a member without need: one that is
-started again and again would have it each time."""
+BEST_STANDING_TTL_S = 0.1
+"""Seconds for which the best suitability is cached: the answer to each member's ping contains
+it."""
+MIN_STABLE_UPTIME_S = 3.0
+"""Seconds since its start after which a member may be handed the leadership without need: one that
+restarts repeatedly would otherwise receive it each time."""
 
 
 @dataclass(slots=True)
@@ -42,30 +46,30 @@
 
 
 class Members:
-    """A table of the members, by name; ``size`` is how many the leader before counted."""
+    """Table of the members by name; ``size`` is the number that the previous leader counted."""
 
     def __init__(self, size: int = 0) -> None:
         self._rows: dict[str, _Member] = {}
-        self._since = monotonic()
+        self._began_at = monotonic()
         self._heard_at: dict[str, float] = {}
-        """When members were last heard (local time), also those whose links have closed."""
+        """When members were last heard (local time), including those whose links have closed."""
         self._counted: set[str] = set()
         self.size = max(1, size)
-        """How many members there are, this one included."""
+        """Number of members, including this one."""
         self._best = FULL
-        self._best_at = -BEST_INTERVAL
+        self._best_at = -BEST_STANDING_TTL_S
 
     def pinged(self, link: Link, ping: Ping) -> None:
-        """Take a member's sign of life."""
+        """Record a member's ping."""
         link.peer = ping.name
         now = monotonic()
         self._heard_at[ping.name] = now
-        if now - self._since < JOIN_TIME:
+        if now - self._began_at < JOIN_PERIOD_S:
             self.size = max(self.size, ping.cell)
         self._rows[ping.name] = _Member(link, now, ping.uptime, ping.standing, ping.stopping)
 
     def link_closed(self, link: Link) -> None:
-        """Forget the member at the other end, unless it has a newer link."""
+        """Remove the member at the other end, unless it has a newer link."""
         row = self._rows.get(link.peer)
         if row is not None and row.link is link:
             del self._rows[link.peer]
@@ -76,35 +80,38 @@
         return None if row is None else row.link
 
     def heard(self) -> set[str]:
-        """Return the members that were heard late."""
+        """Return the names of the members that were heard recently."""
         now = monotonic()
-        return {name for name, row in self._rows.items() if now - row.heard_at < HEARD_WITHIN}
+        return {name for name, row in self._rows.items() if now - row.heard_at < RECENT_S}
 
     # -- Most of all -------------------------------------------------------------------------
 
     def count(self) -> None:
-        """Take who belongs to the cell, while the store's word is fresh.
+        """Update which members belong to the cell, while the store's last confirmation is recent.
 
-        Until most of those have come that the leader before counted, their number is kept.
+        Until a majority of the members that the previous leader counted have connected, their
+        number is kept.
         """
         now = monotonic()
         recent = {name: at for name, at in self._heard_at.items() if now - at < COUNTED_WITHIN}
         self._heard_at = recent
         self._counted = set(recent)
-        found = 1 + len(recent)
-        kept = not self.majority() and now - self._since < AUTHORITY_LIMIT
-        self.size = max(self.size, found) if kept else found
+        observed = 1 + len(recent)
+        keep_size = not self.majority() and now - self._began_at < AUTHORITY_LIMIT
+        self.size = max(self.size, observed) if keep_size else observed
 
     def majority(self) -> bool:
-        """Tell whether most members are heard late, so that no other leader hears most of them."""
-        return self._most(self.heard())
+        """Return whether a majority was heard recently, so that no other leader hears a
+        majority."""
+        return self._is_majority(self.heard())
 
     def stand_in(self) -> bool:
-        """Tell whether most of those counted are heard late, and one besides this member."""
+        """Return whether a majority of the counted members, and at least one besides this, was
+        heard recently."""
         heard = self.heard() & self._counted
-        return bool(heard) and self._most(heard)
+        return bool(heard) and self._is_majority(heard)
 
-    def _most(self, heard: set[str]) -> bool:
+    def _is_majority(self, heard: set[str]) -> bool:
         return 2 * (len(heard) + 1) > self.size
 
     # -- Succession --------------------------------------------------------------------------
@@ -112,33 +119,35 @@
     def successors(self) -> list[tuple[str, Link]]:
         """Return the members and links in the order in which they are asked to take over.
 
-        Of those that carry the lead best, the one that started last goes first: when all are
-        stopped in turn, it has had its turn. One that is being stopped itself is left out.
+        The most suitable come first, and among equals the one that started last: when all members
+        are restarted in turn, its turn is over. A member that is itself being stopped is left out.
         """
-        grown = [
+        candidates = [
             (name, row)
             for name, row in self._rows.items()
-            if row.uptime > SUCCESSOR_AGE and not row.stopping
+            if row.uptime > MIN_SUCCESSOR_UPTIME_S and not row.stopping
         ]
-        grown.sort(key=lambda pair: (-pair[1].standing, pair[1].uptime))
-        return [(name, row.link) for name, row in grown]
+        candidates.sort(key=lambda pair: (-pair[1].standing, pair[1].uptime))
+        return [(name, row.link) for name, row in candidates]
 
     def best_standing(self) -> float:
-        """Return the highest standing of the members that could take over; ``FULL`` without one."""
+        """Return the best suitability of the members that could take over; ``FULL_STANDING``
+        without any."""
         now = monotonic()
-        if now - self._best_at >= BEST_INTERVAL:
+        if now - self._best_at >= BEST_STANDING_TTL_S:
             self._best_at = now
-            there = (self._rows[name] for name in self.heard())
-            self._best = max((row.standing for row in there if not row.stopping), default=FULL)
+            present = (self._rows[name] for name in self.heard())
+            self._best = max((row.standing for row in present if not row.stopping), default=FULL)
         return self._best
 
     def better(self, own: float) -> list[tuple[str, Link]]:
-        """Return the members that stand clearly higher than the leader, and have for a while."""
+        """Return the members clearly more suitable than the leader that have been up for a
+        while."""
         rows = self._rows
         return [
             (name, link)
             for name, link in self.successors()
-            if clearly_better(rows[name].standing, own) and rows[name].uptime > SETTLED_AGE
+            if clearly_better(rows[name].standing, own) and rows[name].uptime > MIN_STABLE_UPTIME_S
         ]
 
     def close_links(self) -> None:
--- a/src/sablemount/control/standing.py
+++ b/src/sablemount/control/standing.py
@@ -1,8 +1,8 @@
-"""How well a member's machine carries the lead, beside those of the others: pure.
+"""Leader suitability of a member's machine compared with the others; pure functions.
 
-The leader's core, link and descriptors serve all callers and VMs; a machine that is short of one of
-them answers late, and is taken for one that has gone. So the best machines claim first, are asked
-first to take over, and a small one leads where there is no better.
+The leader's core, link and descriptors serve all callers and VMs. A machine that is short of one of
+them answers late and is mistaken for a failed one. So members on the best machines claim first and
+are asked first to take over, and a weak one leads only where there is no better one.
 """
 
 import math
@@ -11,29 +11,31 @@
 
 __all__ = ["FULL", "MachineLimits", "claim_delay", "clearly_better", "standing"]
 
-ENOUGH_CORES = 0.9
+SUFFICIENT_CORES = 0.9
 """Share of a processor core with which a leader of some 200 VMs keeps up."""
-ENOUGH_LINK = 50.0
-"""Mbit/s with which its link has no queue while a step of a hundred tasks is placed."""
-ENOUGH_DESCRIPTORS = 2_000
-"""Descriptors that it keeps open: those to the VMs, the members, the store and its callers."""
-ENOUGH_MEMORY = 96.0
-"""MB that it takes at most."""
+SUFFICIENT_LINK_MBPS = 50.0
+"""Mbit/s with which a leader's link has no queue while a step of a hundred tasks is placed."""
+SUFFICIENT_DESCRIPTORS = 2_000
+"""Descriptors that a leader keeps open: those to the VMs, the members, the store and its
+callers."""
+SUFFICIENT_MEMORY_MB = 96.0
+"""MB that a leader uses at most."""
 FULL = 1.0
-"""Standing of a machine that has enough of everything; more makes no better leader."""
-LEAST = 1e-3
-DELAY_STEP = 0.2
-"""Seconds for which a machine leaves a claim to those that stand twice as high: they see that the
-leader is silent within 0.15 s of each other, and claim 0.05 s later."""
-MOST_DELAY = 0.6
-"""Seconds for which it does so at most: the better ones may have gone with the leader."""
-CLEARLY_BETTER = 2.0
-"""By how much a machine has to stand higher for the lead to be handed to it in calm times, for a
-change of leader costs callers some 0.1 s."""
+"""Suitability of a machine that has enough of everything; more does not make a better leader."""
+MIN_STANDING = 1e-3
+DELAY_STEP_S = 0.2
+"""Seconds for which a member leaves a claim to those with twice its suitability: they detect the
+silence of the leader within 0.15 s of each other, and claim 0.05 s later."""
+MAX_DELAY_S = 0.6
+"""Maximum of this delay in seconds: the better machines may have failed together with the
+leader."""
+MIN_IMPROVEMENT = 2.0
+"""Factor by which a machine has to be more suitable to be handed a healthy leader's leadership,
+since a change of leader costs callers some 0.1 s."""
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What a member's machine gives it; 0 is no limit."""
+    """Resource limits of a member's machine; 0 is no limit."""
 
     cores: float = 1.0
     """Share of a processor core."""
@@ -45,31 +47,31 @@
 
 
 def standing(limits: MachineLimits) -> float:
-    """Return how well a machine carries the lead, up to ``FULL``.
+    """Return the suitability of a machine as leader, up to ``FULL_STANDING``.
 
-    Whatever it is short of takes its share, so that one short of two things stands lower.
+    The factors of all resources are multiplied, so that a machine short of two of them ranks lower.
     """
-    found = (
-        _share(limits.cores, ENOUGH_CORES)
-        * _share(limits.link, ENOUGH_LINK)
-        * _share(limits.descriptors, ENOUGH_DESCRIPTORS)
-        * _share(limits.memory, ENOUGH_MEMORY)
+    product = (
+        _sufficiency(limits.cores, SUFFICIENT_CORES)
+        * _sufficiency(limits.link, SUFFICIENT_LINK_MBPS)
+        * _sufficiency(limits.descriptors, SUFFICIENT_DESCRIPTORS)
+        * _sufficiency(limits.memory, SUFFICIENT_MEMORY_MB)
     )
-    # A message leaves a field out only if it is the very object that is its default.
-    return FULL if found >= FULL else max(LEAST, found)
+    # A message omits a field only if the value is the very object that is its default.
+    return FULL if product >= FULL else max(MIN_STANDING, product)
 
 
-def _share(have: float, enough: float) -> float:
-    return FULL if have <= 0 else min(FULL, have / enough)
+def _sufficiency(available: float, sufficient: float) -> float:
+    return FULL if available <= 0 else min(FULL, available / sufficient)
 
 
 def claim_delay(own: float, best: float) -> float:
-    """Return for how many seconds a member leaves a claim to the best that is known."""
+    """Return the seconds for which a member leaves a claim to the best one known."""
     if own >= best:
         return 0.0
-    return min(MOST_DELAY, DELAY_STEP * math.log2(best / own))
+    return min(MAX_DELAY_S, DELAY_STEP_S * math.log2(best / own))
 
 
 def clearly_better(other: float, own: float) -> bool:
-    """Tell whether the lead is worth handing over to another member."""
-    return other >= CLEARLY_BETTER * own
+    """Return whether another member is so much better that a handover is worth its cost."""
+    return other >= MIN_IMPROVEMENT * own
