--- a/src/sablemount/control/load.py
+++ b/src/sablemount/control/load.py
@@ -1,4 +1,4 @@
-"""The load of what lasts as a leadership begins, and how far it has come."""
+"""Loads the persistent state at the start of a leadership, and tracks the load's progress."""
 
 import asyncio
 import logging
@@ -23,50 +23,50 @@
 
 __all__ = ["LoadStore", "Load", "LoadProgress"]
 
-PAUSE = 0.1
-"""Seconds after a failed try until the next one."""
+RETRY_PAUSE_S = 0.1
+"""Seconds from a failed attempt until the next one."""
 
 _logger = logging.getLogger("sablemount.control.leader")
 
 
 class LoadProgress:
-    """How far the farthest try has come: bytes that it has read.
+    """High-water mark of a load: the bytes read by the attempt that came furthest.
 
-    What was read before and is read again is no progress, so that a load that fails at the same
-    place each time does not get on.
+    Bytes that are read again are no progress, so that a load that fails at the same place each time
+    counts as stalled.
     """
 
     def __init__(self) -> None:
         self.far = 0
-        self._kept = 0
-        self._arrived = 0
-        """Bytes of the answers that are on their way: the most of any."""
+        self._complete_bytes = 0
+        self._partial_bytes = 0
+        """Bytes received of unfinished answers: the largest count of any one answer."""
 
     def begin(self) -> None:
-        """Begin a leadership, with what has been read of late."""
-        self.far = self._kept + self._arrived
+        """Start a leadership at what the preload has read."""
+        self.far = self._complete_bytes + self._partial_bytes
 
     def again(self) -> None:
-        """Begin a try: nothing is read yet."""
-        self._kept = self._arrived = 0
+        """Start an attempt, which has read nothing yet."""
+        self._complete_bytes = self._partial_bytes = 0
 
     def arrived(self, size: int) -> None:
-        """Take how many bytes of an answer have come that goes on."""
-        self._arrived = max(self._arrived, size)
-        self._reached()
+        """Record that ``size`` bytes of an unfinished answer have been received."""
+        self._partial_bytes = max(self._partial_bytes, size)
+        self._update_high_water()
 
     def kept(self, size: int) -> None:
-        """Take a whole answer of some bytes."""
-        self._kept += max(size, self._arrived)
-        self._arrived = 0
-        self._reached()
+        """Record a complete answer of ``size`` bytes."""
+        self._complete_bytes += max(size, self._partial_bytes)
+        self._partial_bytes = 0
+        self._update_high_water()
 
-    def _reached(self) -> None:
-        self.far = max(self.far, self._kept + self._arrived)
+    def _update_high_water(self) -> None:
+        self.far = max(self.far, self._complete_bytes + self._partial_bytes)
 
 
 class _Arriving(Progress):
-    """What has arrived of one answer, told to the load and to whoever waits for it."""
+    """Progress of one answer, which updates the load's progress and that of the caller."""
 
     __slots__ = ("_asked_by", "_load")
 
@@ -76,7 +76,7 @@
         self._asked_by = asked_by
 
     def arrived(self, size: int) -> None:
-        """Take some bytes."""
+        """Record that ``size`` further bytes were received."""
         super().arrived(size)
         self._load.arrived(self.received)
         if self._asked_by is not None:
@@ -84,7 +84,8 @@
 
 
 class LoadStore:
-    """The store, with a load's reads of it counted; ``why`` tells why one last failed."""
+    """The store, with progress recorded for a load's reads; ``last_error`` is why a read last
+    failed."""
 
     def __init__(self, store: Store, progress: LoadProgress) -> None:
         self._store = store
@@ -105,7 +106,7 @@
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
-        """Read a page, and count what comes of it."""
+        """Read a page and record its progress."""
         if after == LAST_KEY:
             return await self._store.newest(topic, after, timeout, progress)
         if not after:
@@ -121,7 +122,7 @@
     async def read(
         self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
     ) -> ReadResult:
-        """Read what follows an offset, and count what comes of it."""
+        """Read the records after an offset and record their progress."""
         arriving = _Arriving(self._progress, progress)
         result = await self._store.read(topic, offset, wait, arriving)
         if isinstance(result, Records):
@@ -136,7 +137,7 @@
 
 
 class Load:
-    """Loads for one leadership, with as many tries as it takes."""
+    """Loads the state for one leadership, in as many attempts as necessary."""
 
     def __init__(self, epoch: int, store: Store, progress: LoadProgress, figures: Figures) -> None:
         self._epoch = epoch
@@ -144,34 +145,35 @@
         self._store = LoadStore(store, progress)
         self._figures = figures
         self._began_at = monotonic()
-        self._tries = 0
+        self._attempts = 0
 
     async def run(
         self, committer: Committer, reading: "asyncio.Task[Reading | None] | None"
     ) -> list[Record]:
-        """Set the epoch, and return the records that last then; ``reading`` may have begun."""
+        """Set the epoch and return the records stored at that point; ``reading`` may be a
+        preload."""
         read_before = reading is not None
-        _logger.info("load begins", extra={"epoch": self._epoch, "read_before": read_before})
+        _logger.info("load started", extra={"epoch": self._epoch, "read_before": read_before})
         await committer.open()
         _logger.info("epoch set", extra=self._state())
         self._progress.kept(1)
         while True:
-            self._tries += 1
+            self._attempts += 1
             records = await load_records(self._store, reading, committer.end)
             if records is not None:
                 break
             _logger.info("load failed", extra={**self._state(), "why": self._store.why})
             reading = None
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(RETRY_PAUSE_S)
         self._figures.observe("load", monotonic() - self._began_at)
         _logger.info("loaded", extra={**self._state(), "records": len(records)})
         return records
 
     def given_up(self) -> None:
-        """Tell that the leadership has ended first."""
-        _logger.info("load given up", extra={**self._state(), "why": self._store.why})
+        """Log that the leadership has ended before the load was complete."""
+        _logger.info("load abandoned", extra={**self._state(), "why": self._store.why})
 
     def _state(self) -> dict[str, object]:
         seconds = round(monotonic() - self._began_at, 3)
         far = self._progress.far
-        return {"epoch": self._epoch, "seconds": seconds, "tries": self._tries, "bytes": far}
+        return {"epoch": self._epoch, "seconds": seconds, "tries": self._attempts, "bytes": far}
--- a/src/sablemount/control/members.py
+++ b/src/sablemount/control/members.py
@@ -1,5 +1,4 @@
-"""The members that a leader hears: their links, last pings and suitability, and whether they are a
-majority.
+"""The members that a leader hears, and whether they are a majority.
 
 A member follows one leader at a time. So only one of two leaders can hear a majority of the
 members, whichever of them reaches the store.
--- a/src/sablemount/control/preload.py
+++ b/src/sablemount/control/preload.py
@@ -1,7 +1,7 @@
-"""What lasts, read before a leadership begins and brought up to date once its epoch is set.
+"""Reads the persistent state before a leadership begins, and completes it once the epoch is set.
 
-In a slow store the pages take longer than all else of a change of leader; what a former leader
-appends after they were read is little, and is read by its offsets.
+In a slow store the pages take longer than all other steps of a change of leader. What a previous
+leader appends after they were read is little, and is read by offset.
 """
 
 import asyncio
@@ -19,97 +19,104 @@
 
 __all__ = ["Preload", "Reading", "load_records"]
 
-INTERVAL = 0.4
-"""Seconds without a part of a page, or of what follows, after which it is asked for again."""
-LIMIT = 4.0
-"""Seconds after which a page, or what follows, is given up if nothing of it comes."""
-LONGEST = 30.0
-"""Seconds that what follows may take in all."""
+RETRY_INTERVAL_S = 0.4
+"""Seconds without data of a page, or of the tail after the snapshot, after which it is requested
+again."""
+STALL_TIMEOUT_S = 4.0
+"""Seconds without any data after which the read of a page, or of the tail, is abandoned."""
+TAIL_TIMEOUT_S = 30.0
+"""Seconds that the read of the tail may take in total."""
 FRESH = 3.0
-"""Seconds after they were read for which pages are worth bringing up to date: a change of leader in
-a slow store. How long they took to read counts not: it grows with what lasts."""
+"""Seconds after their read for which pages are worth completing: a change of leader in a slow
+store. The time that the read itself took is not counted, since it grows with the persistent
+state."""
 
 
 _logger = logging.getLogger("sablemount.control.preload")
 
 
 class Reading(msgspec.Struct, frozen=True):
-    """The newest record of each key, and the offset from where to read on."""
+    """The newest record of each key, and the offset at which the tail begins."""
 
     records: list[Record]
     end: int
 
 
 class Preload:
-    """Reads the newest records while a claim is under way; made anew when they have aged."""
+    """Reads the newest records while a claim is prepared, and reads them again once they are too
+    old."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
         self._read_at = -FRESH
-        """When the reading was done (local time)."""
-        self._reading: asyncio.Task[Reading | None] | None = None
+        """When the read finished (local time)."""
+        self._task: asyncio.Task[Reading | None] | None = None
 
     def begin(self) -> "asyncio.Task[Reading | None]":
-        """Begin to read, unless that is under way or was done of late; return the reading."""
-        reading = self._fresh()
-        if reading is None:
-            reading = asyncio.get_running_loop().create_task(_newest(self._store))
-            reading.add_done_callback(self._done)
-            self._reading = reading
-        return reading
+        """Start to read, unless a read is running or recent; return its task."""
+        preload_task = self._usable_task()
+        if preload_task is None:
+            preload_task = asyncio.get_running_loop().create_task(_read_snapshot(self._store))
+            preload_task.add_done_callback(self._on_done)
+            self._task = preload_task
+        return preload_task
 
     def take(self) -> "asyncio.Task[Reading | None] | None":
-        """Return the reading that is under way or fresh, and forget it; ``None`` without one."""
-        reading = self._fresh()
-        self._reading = None
-        return reading
+        """Return the task of a running or recent read and clear it; ``None`` if there is none."""
+        preload_task = self._usable_task()
+        self._task = None
+        return preload_task
 
-    def _done(self, reading: "asyncio.Task[Reading | None]") -> None:
-        if reading is self._reading:
+    def _on_done(self, preload_task: "asyncio.Task[Reading | None]") -> None:
+        if preload_task is self._task:
             self._read_at = monotonic()
 
-    def _fresh(self) -> "asyncio.Task[Reading | None] | None":
-        reading = self._reading
-        if reading is None or not reading.done():
-            return reading
-        failed = reading.cancelled() or reading.exception() is not None or reading.result() is None
-        return None if failed or monotonic() - self._read_at >= FRESH else reading
+    def _usable_task(self) -> "asyncio.Task[Reading | None] | None":
+        preload_task = self._task
+        if preload_task is None or not preload_task.done():
+            return preload_task
+        failed = (
+            preload_task.cancelled()
+            or preload_task.exception() is not None
+            or preload_task.result() is None
+        )
+        return None if failed or monotonic() - self._read_at >= FRESH else preload_task
 
 
 async def load_records(
     store: Store,
-    reading: "asyncio.Task[Reading | None] | None",
+    preload_task: "asyncio.Task[Reading | None] | None",
     end: int | None,
 ) -> list[Record] | None:
-    """Return the newest records up to an end after which nobody else writes, if it is known.
+    """Return the newest records up to ``end``, after which no other process writes, if it is known.
 
-    ``reading`` may have begun before. ``None`` if the store does not answer.
+    ``reading`` may be a preload. Return ``None`` if the store does not answer.
     """
-    read = await reading if reading is not None else None
-    if read is not None and end is not None:
-        newest = {record.key: record for record in read.records}
-        if await _catch_up(store, newest, read.end, end):
+    snapshot = await preload_task if preload_task is not None else None
+    if snapshot is not None and end is not None:
+        newest = {record.key: record for record in snapshot.records}
+        if await _catch_up(store, newest, snapshot.end, end):
             return list(newest.values())
-    whole = await _newest(store)
-    return None if whole is None else whole.records
+    complete = await _read_snapshot(store)
+    return None if complete is None else complete.records
 
 
-async def _newest(store: Store) -> Reading | None:
-    loaded = await read_newest(store, Topic.JOBS, INTERVAL, LIMIT)
+async def _read_snapshot(store: Store) -> Reading | None:
+    loaded = await read_newest(store, Topic.JOBS, RETRY_INTERVAL_S, STALL_TIMEOUT_S)
     if isinstance(loaded, Unavailable):
         extra = {"why": loaded.reason, "received": loaded.received}
-        _logger.info("records not read", extra=extra)
+        _logger.info("preload failed", extra=extra)
         return None
     items, end = loaded
     return Reading([item.record for item in items], end)
 
 
 async def _catch_up(store: Store, newest: dict[str, Record], offset: int, end: int) -> bool:
-    """Apply what follows an offset up to an end; return whether all of it could be read."""
+    """Apply the records from an offset up to ``end``; return whether all of them could be read."""
     while offset < end:
         progress = Progress()
-        reading = partial(_read, store, offset, progress)
-        tail = await hedged(reading, INTERVAL, LIMIT, progress, LONGEST)
+        attempt = partial(_read_tail, store, offset, progress)
+        tail = await hedged(attempt, RETRY_INTERVAL_S, STALL_TIMEOUT_S, progress, TAIL_TIMEOUT_S)
         if tail is None or not tail.records:
             return False
         for record in tail.records:
@@ -121,6 +128,6 @@
     return True
 
 
-async def _read(store: Store, offset: int, progress: Progress) -> Records | None:
+async def _read_tail(store: Store, offset: int, progress: Progress) -> Records | None:
     result = await store.read(Topic.JOBS, offset, 0.0, progress)
     return result if isinstance(result, Records) else None
--- a/src/sablemount/control/progress.py
+++ b/src/sablemount/control/progress.py
@@ -1,4 +1,5 @@
-"""How much of an answer has arrived, so that one that is merely long is not taken for lost."""
+"""Progress of an answer that is being received, so that a long answer is not mistaken for a lost
+one."""
 
 from sablemount.control.clock import monotonic
 
@@ -8,19 +9,19 @@
 
 
 class Progress:
-    """Takes the parts of the answers to one question, however often that was asked."""
+    """Counts the received parts of the answers to one request, including its retries."""
 
     __slots__ = ("_first_at", "at", "received")
 
     def __init__(self) -> None:
         self.received = 0
-        """Bytes that have come."""
+        """Number of bytes received."""
         self.at = NEVER
-        """When the last of them came (local time)."""
+        """When the last bytes were received (local time)."""
         self._first_at = NEVER
 
     def arrived(self, size: int) -> None:
-        """Take some bytes."""
+        """Record that ``size`` further bytes were received."""
         self.received += size
         self.at = monotonic()
         if self._first_at == NEVER:
@@ -32,5 +33,5 @@
         return self.at - self._first_at
 
     def within(self, seconds: float) -> bool:
-        """Tell whether something has come within some seconds."""
+        """Return whether anything was received within the last ``seconds``."""
         return monotonic() - self.at < seconds
--- a/tests/jobs/test_load.py
+++ b/tests/jobs/test_load.py
@@ -96,7 +96,7 @@
     with caplog.at_level(logging.INFO, "sablemount.control.leader"):
         run(scenario())
     told = {record.getMessage(): record.__dict__ for record in caplog.records}
-    assert list(told) == ["load begins", "epoch set", "load failed", "loaded"]
+    assert list(told) == ["load started", "epoch set", "load failed", "loaded"]
     assert told["load failed"]["why"] == "no answer"
     assert 0 < told["load failed"]["bytes"] < KEYS * 10
     assert (told["loaded"]["tries"], told["loaded"]["records"]) == (2, KEYS)
