--- a/benchmarks/played_day.py
+++ b/benchmarks/played_day.py
@@ -161,7 +161,7 @@
 
 def _no_leader(lines: list[Line]) -> list[Span]:
     """Return the spans between the last sign of a leader and the next one that leads."""
-    orders = ("step placed", "job accepted", "job ended", "leads no more")
+    orders = ("step placed", "job accepted", "job ended", "leadership ended")
     found = []
     last = 0.0
     for line in lines:
--- a/src/sablemount/control/leader.py
+++ b/src/sablemount/control/leader.py
@@ -1,4 +1,5 @@
-"""One leadership: loads what lasts, then runs the job scheduler until it is over."""
+"""One leadership: loads the persistent state, then runs the job scheduler until the leadership
+ends."""
 
 import asyncio
 import logging
@@ -35,16 +36,17 @@
 
 __all__ = ["Leader", "LeaderPorts"]
 
-TICK = 0.05
-"""Seconds between ticks when nothing happens."""
-COALESCE = 0.004
-"""Seconds that an event waits for others before the systems run."""
-FRESH_START = 1.0
+TICK_INTERVAL_S = 0.05
+"""Seconds between ticks when no event occurs."""
+COALESCE_DELAY_S = 0.004
+"""Seconds that an event waits for further events before the systems run."""
+RELIST_INTERVAL_S = 1.0
 """Seconds after which lists are read anew: a record may be dropped before it was read."""
-DRAIN_TIME = 0.5
-"""Seconds that a planned hand-over waits for appends at most: 100 times a usual one."""
-DRAIN_POLL = 0.005
-"""Seconds between looks at whether these are done: about the time of an append."""
+DRAIN_TIMEOUT_S = 0.5
+"""Seconds that a planned handover waits for appends at most: 100 times the usual duration of
+one."""
+DRAIN_POLL_INTERVAL_S = 0.005
+"""Seconds between checks whether these appends are done: about the duration of one."""
 
 _logger = logging.getLogger("sablemount.control.leader")
 _run_logger = logging.getLogger(RUN_LOGGER)
@@ -63,7 +65,7 @@
 
 
 class Leader:
-    """Leads under one epoch."""
+    """The leadership of one epoch."""
 
     def __init__(
         self,
@@ -74,33 +76,33 @@
         rng: random.Random,
         figures: Figures,
         feed: ConfigurationFeed,
-        reading: "asyncio.Task[Reading | None] | None" = None,
+        preload_task: "asyncio.Task[Reading | None] | None" = None,
         roster: Roster | None = None,
         cell: int = 0,
         progress: LoadProgress | None = None,
         uplink: float = 0.0,
     ) -> None:
         self.name = name
-        self._reading = reading
+        self._preload_task = preload_task
         self.progress = progress or LoadProgress()
-        """How far the load is."""
+        """Progress of the load."""
         self.progress.begin()
-        self._loading: asyncio.Task[None] | None = None
+        self._load_task: asyncio.Task[None] | None = None
         self.epoch = epoch
         self.ports = ports
         self.figures = figures
         self.members = Members(cell)
-        self._background = Background(self._failed)
+        self._background = Background(self._on_error)
         self._began_at = self._confirmed_at = monotonic()
         self.roster = roster or Roster({})
         self._feed = feed
         self.scheduler = JobScheduler(settings, epoch, LoopClock())
-        self.scheduler.reconcile.on_outcome = self._count_end
+        self.scheduler.reconcile.on_outcome = self._count_completion
         self.scheduler.vms.on_next_life = partial(figures.count, "next_life")
         self.scheduler.starts.on_noted = partial(figures.observe, "note_start")
         self.committer = Committer(ports.store, epoch, rng, uplink)
         self.commits = CommitLoop(
-            self.scheduler, self.committer, figures, self._confirmed, self._background.keep
+            self.scheduler, self.committer, figures, self._on_confirmed, self._background.keep
         )
         self._authority = Authority(
             lambda: self.committer.confirmed_at, self.members.stand_in, self.commits.want
@@ -110,110 +112,112 @@
             ports.vms,
             epoch,
             self.authority,
-            self._fenced_by_vm,
+            self._on_fenced,
             self.kick,
             self.commits.noted,
         )
         self._advice = AdviceCalls(
-            name, self.scheduler.advice, ports.advice, self.members, figures, self._woken
+            name, self.scheduler.advice, ports.advice, self.members, figures, self._on_advice
         )
         self.callers = Callers(
-            self.scheduler, self.commits, self._serves, self._store_is_fresh, self.kick
+            self.scheduler, self.commits, self._accepts_calls, self._confirmed_recently, self.kick
         )
         self.leading = False
         self.over = asyncio.Event()
         self.why = ""
         self.closing = False
-        self._kicked = asyncio.Event()
-        self._stop_listening: Callable[[], None] = lambda: None
-        self._early: list[Callable[[], None]] | None = []
-        """What was read of the VMs before the load, whose records say which were in use."""
+        self._wake_requested = asyncio.Event()
+        self._unsubscribe: Callable[[], None] = lambda: None
+        self._deferred_updates: list[Callable[[], None]] | None = []
+        """Updates of the VM list that arrived before the load was complete; the loaded records show
+        which VMs were in use."""
 
     # -- Life --------------------------------------------------------------------------------
 
     async def run(self) -> str:
-        """Lead until it is over; return why it ended."""
+        """Lead until the leadership ends; return the reason."""
         try:
-            # The store may take a while, and all that is read does not depend on each other.
-            self._follow()
-            alive = self._background.spawn(self._tick_while_loading())
+            # The store may be slow, and these reads do not depend on each other.
+            self._start_followers()
+            tick_task = self._background.spawn(self._tick_while_loading())
             loaded = await self._load()
-            alive.cancel()
+            tick_task.cancel()
             if loaded:
-                self._begin()
+                self._start_leading()
                 await self.over.wait()
         finally:
             self.leading = False
             self._close()
-        _logger.info("leads no more", extra={"epoch": self.epoch, "why": self.why})
+        _logger.info("leadership ended", extra={"epoch": self.epoch, "why": self.why})
         return self.why
 
-    def _begin(self) -> None:
-        self._take_early()
+    def _start_leading(self) -> None:
+        self._apply_deferred_updates()
         self.leading = True
-        _logger.info("leading", extra={"epoch": self.epoch, **self._sizes()})
+        _logger.info("leading", extra={"epoch": self.epoch, **self._counts()})
         self._background.spawn(self.commits.run())
         self._background.spawn(self._tick_forever())
 
     def end(self, why: str) -> None:
-        """End the leadership; no order is given from now on."""
+        """End the leadership; no request is sent to a VM from now on."""
         if not self.over.is_set():
             self.why = why
             self.leading = False
             self.over.set()
-            if self._loading is not None:
-                self._loading.cancel()
+            if self._load_task is not None:
+                self._load_task.cancel()
 
     async def drain(self) -> None:
-        """Take no more calls, and wait a little until those taken before are in the store."""
+        """Accept no more calls, and wait a limited time until the accepted ones are in the
+        store."""
         self.closing = True
-        last = monotonic() + DRAIN_TIME
-        while self.commits.busy() and monotonic() < last:
-            await asyncio.sleep(DRAIN_POLL)
+        deadline = monotonic() + DRAIN_TIMEOUT_S
+        while self.commits.busy() and monotonic() < deadline:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def _close(self) -> None:
-        self._stop_listening()
+        self._unsubscribe()
         self.calls.close()
         self._background.close()
         self.commits.close()
 
-    def _count_end(self, outcome: str) -> None:
+    def _count_completion(self, outcome: str) -> None:
         self.figures.count("end", outcome)
 
-    def _sizes(self) -> dict[str, int | None]:
+    def _counts(self) -> dict[str, int | None]:
         state = self.scheduler.state
-        sizes = {"jobs": len(state.jobs), "live": len(state.live), "vms": len(state.vms)}
-        return {"end": self.committer.end, **sizes}
+        counts = {"jobs": len(state.jobs), "live": len(state.live), "vms": len(state.vms)}
+        return {"end": self.committer.end, **counts}
 
     async def _load(self) -> bool:
-        """Load what lasts; return whether it is there before the leadership ends."""
+        """Load the persistent state; return whether that is complete before the leadership ends."""
         load = Load(self.epoch, self.ports.store, self.progress, self.figures)
-        self._loading = self._background.spawn(self._take_records(load))
-        await asyncio.wait([self._loading])
+        self._load_task = self._background.spawn(self._load_records(load))
+        await asyncio.wait([self._load_task])
         if self.over.is_set():
             load.given_up()
         return not self.over.is_set()
 
-    async def _take_records(self, load: Load) -> None:
-        records = await load.run(self.committer, self._reading)
+    async def _load_records(self, load: Load) -> None:
+        records = await load.run(self.committer, self._preload_task)
         self.scheduler.now()
         self.scheduler.load(records)
 
-    def _follow(self) -> None:
-        self._stop_listening = self._feed.listen(self._configured)
+    def _start_followers(self) -> None:
+        self._unsubscribe = self._feed.listen(self._on_configuration)
         vms = Follower(
             self.ports.store,
             Topic.VMS,
-            self._vms_listed,
-            self._vms_told,
-            FRESH_START,
+            self._on_vm_list,
+            self._on_vm_records,
+            RELIST_INTERVAL_S,
             self.scheduler.rooms_known,
         )
         self.scheduler.rooms_known(monotonic())
         self._background.spawn(vms.run())
 
-    def _failed(self, error: BaseException) -> None:
-        """End the leadership over what a part of it has raised."""
+    def _on_error(self, error: BaseException) -> None:
+        """End the leadership because of an exception in one of its tasks."""
         if isinstance(error, LostLeadership | GivenUp):
             self.end(str(error))
             return
@@ -223,79 +227,80 @@
     # -- Authority ---------------------------------------------------------------------------
 
     def authority(self) -> bool:
-        """Tell whether orders may be given now."""
+        """Return whether requests may be sent to VMs now."""
         return self.leading and not self.over.is_set() and self._authority.holds()
 
     def store_age(self) -> float:
-        """Return for how many seconds the store has not confirmed the leadership."""
+        """Return the seconds since the store last confirmed the leadership."""
         return self._authority.store_age()
 
-    def _store_is_fresh(self) -> bool:
+    def _confirmed_recently(self) -> bool:
         return self.store_age() < AUTHORITY_TIME
 
-    def _confirmed(self, asked_at: float) -> None:
+    def _on_confirmed(self, asked_at: float) -> None:
         self._confirmed_at = max(self._confirmed_at, asked_at)
         self._authority.confirmed(asked_at)
         self.kick()
 
-    def _serves(self) -> bool:
+    def _accepts_calls(self) -> bool:
         return not self.closing and self.authority()
 
-    def _fenced_by_vm(self, vm: str) -> None:
+    def _on_fenced(self, vm: str) -> None:
         self.end(f"VM {vm} has seen a later leader")
 
     # -- Time --------------------------------------------------------------------------------
 
     def kick(self) -> None:
-        """Let the systems run soon."""
-        self._kicked.set()
+        """Request that the systems run soon."""
+        self._wake_requested.set()
 
-    def _woken(self) -> None:
+    def _on_advice(self) -> None:
         self.scheduler.now()
         self.kick()
 
     async def _tick_forever(self) -> None:
-        took = 0.0
+        duration = 0.0
         while True:
-            await set_within(self._kicked, TICK)
-            # However much there is to decide, half of the time is left to all else; what took
-            # longer may have been a pause of the process.
-            await asyncio.sleep(min(TICK, max(COALESCE, took)))
-            self._kicked.clear()
+            await set_within(self._wake_requested, TICK_INTERVAL_S)
+            # However much there is to decide, half of the time is left to other tasks. A longer run
+            # may include a pause of the process.
+            await asyncio.sleep(min(TICK_INTERVAL_S, max(COALESCE_DELAY_S, duration)))
+            self._wake_requested.clear()
             began = monotonic()
             self._tick()
-            took = monotonic() - began
+            duration = monotonic() - began
 
     async def _tick_while_loading(self) -> None:
-        """Let the time that a load takes not be taken as a pause of the process."""
+        """Keep ticking, so that the duration of a load is not mistaken for a pause of the
+        process."""
         while True:
             self._authority.tick()
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _tick(self) -> None:
         self._authority.tick()
         self.scheduler.now()
-        self._judge_members()
+        self._update_members()
         self.scheduler.advice.set_lanes({self.name} | self.members.heard())
         if self.authority():
-            noting = not self.commits.stuck()
-            for action in self.scheduler.tick(noting, self._confirmed_at):
-                self._perform(action)
+            can_record = not self.commits.stuck()
+            for action in self.scheduler.tick(can_record, self._confirmed_at):
+                self._execute(action)
             self.calls.follow_new()
         if self.scheduler.journal.pending():
             self.commits.want()
         if self.scheduler.placement.unfinished:
             self.kick()
 
-    def _judge_members(self) -> None:
-        if self._store_is_fresh():
+    def _update_members(self) -> None:
+        if self._confirmed_recently():
             self.members.count()
         if not self.members.majority() and monotonic() - self._began_at < AUTHORITY_LIMIT:
-            # Those that have not come may stand in for the store at a former leader, which then
-            # extends the leases of VMs that are not heard here.
+            # Members that have not connected may still substitute for the store at a previous
+            # leader, which then extends the leases of VMs that do not report here.
             self.scheduler.vms.former_may_order()
 
-    def _perform(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, StartRun):
             self.figures.count("start")
             self.calls.start(action)
@@ -315,30 +320,31 @@
 
     # -- The directory -----------------------------------------------------------------------
 
-    def _take_early(self) -> None:
-        """Take what was read of the VMs while the records of a former leader were loaded."""
-        early = self._early or []
-        self._early = None
-        for take in early:
-            take()
+    def _apply_deferred_updates(self) -> None:
+        """Apply the updates of the VM list that arrived while the previous leader's records were
+        loaded."""
+        deferred = self._deferred_updates or []
+        self._deferred_updates = None
+        for apply_update in deferred:
+            apply_update()
 
-    def _configured(self, configuration: Configuration) -> None:
+    def _on_configuration(self, configuration: Configuration) -> None:
         self.scheduler.now()
         if self.scheduler.configured(configuration):
             self.kick()
 
-    def _vms_listed(self, items: Sequence[PageItem], end: int) -> None:
-        if self._early is not None:
-            self._early.append(partial(self._vms_listed, items, end))
+    def _on_vm_list(self, items: Sequence[PageItem], end: int) -> None:
+        if self._deferred_updates is not None:
+            self._deferred_updates.append(partial(self._on_vm_list, items, end))
             return
         self.scheduler.now()
         infos = [self.ports.codec.vm(item.record) for item in items]
         self.scheduler.listed([info for info in infos if info is not None])
         self.kick()
 
-    def _vms_told(self, records: Sequence[Record], end: int) -> None:
-        if self._early is not None:
-            self._early.append(partial(self._vms_told, records, end))
+    def _on_vm_records(self, records: Sequence[Record], end: int) -> None:
+        if self._deferred_updates is not None:
+            self._deferred_updates.append(partial(self._on_vm_records, records, end))
             return
         self.scheduler.now()
         for record in records:
@@ -346,7 +352,7 @@
             if info is not None:
                 self.scheduler.told(info)
             else:
-                # Dropped, or replaced by something that names no VM.
+                # Deleted, or replaced by a record that does not describe a VM.
                 self.scheduler.left_list(record.key)
         self.kick()
 
--- a/src/sablemount/control/leader_link.py
+++ b/src/sablemount/control/leader_link.py
@@ -1,4 +1,4 @@
-"""A member's link to the leader: pings over it, and what they tell."""
+"""A member's link to the leader, and what its pings reveal about the leader."""
 
 import asyncio
 import contextlib
@@ -22,41 +22,43 @@
 
 __all__ = ["LeaderLink"]
 
-PING_INTERVAL = 0.15
+PING_INTERVAL_S = 0.15
 """Seconds between pings: four fit into the silence after which a leader is suspected."""
-NEW_PING_INTERVAL = 0.02
+NEW_LEADER_PING_INTERVAL_S = 0.02
 """Seconds between pings while a new leader loads, which takes some 30 ms: callers wait for it."""
-NEW_LEADER_TIME = 1.0
-"""Seconds for which a leader counts as new; loading is over by then unless the store is slow."""
-PINGS_A_SECOND = 2_000
-"""Pings of all members that a leader gets at most: a fifth of a processor core."""
-MOST_PING_INTERVAL = 0.3
+NEW_LEADER_PERIOD_S = 1.0
+"""Seconds for which a leader counts as new; its load is complete by then unless the store is
+slow."""
+MAX_PINGS_PER_S = 2_000
+"""Maximum rate of the pings of all members to a leader: they take a fifth of a processor core."""
+MAX_PING_INTERVAL_S = 0.3
 """Seconds between pings in the largest cells: two fit into the silence after which a leader is
 suspected."""
 PING_TIMEOUT = 0.3
-"""Seconds that a ping waits for its answer: after that there is time for one over a new connection
-before the leader is suspected, for the old one may have fallen silent without a reset."""
-CONNECT_TIMEOUT = 0.3
-"""Seconds that a connection to the leader may take: 100 times the way between two zones."""
-VIEW_TIMEOUT = 0.2
-"""Seconds that another member has to tell its view: 100 times the way between two zones."""
-RECONNECT_PAUSE = 0.05
-"""Seconds between tries to connect; a new leader is connected to at once."""
+"""Seconds that a ping waits for its answer. The rest of the time until the leader is suspected
+allows for a ping over a new connection, since the old one may have failed without a reset."""
+CONNECT_TIMEOUT_S = 0.3
+"""Seconds that connecting to the leader may take: 100 times the round trip between two zones."""
+VIEW_TIMEOUT_S = 0.2
+"""Seconds that another member has to return its view: 100 times the round trip between two
+zones."""
+RECONNECT_PAUSE_S = 0.05
+"""Seconds between attempts to connect; the first attempt to reach a new leader is made at once."""
 
 
 def _ignore(record: LeaderRecord) -> None:
-    """Take who leads, and do nothing."""
+    """Default handler of a later leader: do nothing."""
 
 
 def _ignore_pong(pong: Pong, asked_at: float) -> None:
-    """Take an answer of the leader, and do nothing."""
+    """Default handler of an answer of the leader: do nothing."""
 
 
 _logger = logging.getLogger("sablemount.control.leader_link")
 
 
 class LeaderLink:
-    """Connects to whom the newest leader record names; ``handler`` takes the leader's calls."""
+    """Connects to the leader named by the newest record; ``handler`` answers the leader's calls."""
 
     def __init__(self, settings: MemberSettings, network: Network, handler: Handler) -> None:
         self._settings = settings
@@ -70,23 +72,25 @@
         self.stopping = False
         """Whether this member is being stopped."""
         self.leads = False
-        """Whether the leader has said over this link that it leads."""
+        """Whether the leader has confirmed over this link that it leads."""
         self.heard_leading_at = -1e9
         self.on_leader: Callable[[LeaderRecord], None] = _ignore
-        """Takes a later leader that the named one tells of."""
+        """Called with a later leader that the current one reports."""
         self.addresses: dict[str, str] = {}
-        """Addresses of the members that the leader has heard, by name."""
-        self._roster = 0
-        """Version of them that the leader has given."""
+        """Addresses by name of the members that the leader has heard."""
+        self._addresses_version = 0
+        """Version of the addresses that the leader has sent."""
         self.cell = 0
-        """How many members the last leader counted, itself included; 0 if none has told."""
+        """Number of members that the last leader counted, including itself; 0 if none has reported
+        it."""
         self.best = FULL
-        """Standing of the best member that could take over, as the last leader told; before that
-        one that has enough of everything may be there."""
+        """Suitability of the best member that could take over, as the last leader reported it.
+        Until then, assume that a fully suitable one exists."""
         self.configuration = -1
-        """Version of the configuration here, which pings tell."""
+        """Version of the configuration here, which pings report."""
         self.on_pong: Callable[[Pong, float], None] = _ignore_pong
-        """Takes each answer of the leader, once it leads, and when it was asked."""
+        """Called with each answer of the leader once it leads, and with the time when the ping was
+        sent."""
 
     @property
     def epoch(self) -> int:
@@ -95,36 +99,37 @@
 
     @property
     def linked(self) -> bool:
-        """Tell whether a connection to the leader stands."""
+        """Return whether there is a connection to the leader."""
         return self._link is not None
 
-    def follow(self, seen: LeaderRecord) -> bool:
-        """Take who leads; return whether it is news."""
-        if seen.epoch <= self.epoch:
+    def follow(self, newer: LeaderRecord) -> bool:
+        """Follow the leader of a record; return whether the record is newer than the known one."""
+        if newer.epoch <= self.epoch:
             return False
-        unled = self._unled()
+        leaderless = self._count_leaderless_epochs()
         if self.record is not None:
-            # It pings nobody, and no later leader would hear of it.
+            # A leader pings nobody, so that a later leader would not learn its address.
             self.addresses[self.record.name] = self.record.address
-        self.record = seen
-        self._roster = 0
-        self.suspicion = Suspicion(monotonic(), unled)
+        self.record = newer
+        self._addresses_version = 0
+        self.suspicion = Suspicion(monotonic(), leaderless)
         self.leads = False
-        _logger.info("leader known", extra={"leader": seen.name, "epoch": seen.epoch})
+        _logger.info("leader known", extra={"leader": newer.name, "epoch": newer.epoch})
         self.close()
         self._leader_changed.set()
         return True
 
-    def _unled(self) -> int:
-        """Return how many leaders in a row, the present one included, were not heard to lead."""
+    def _count_leaderless_epochs(self) -> int:
+        """Return how many consecutive leaders, including the present one, were never heard to
+        lead."""
         if self.record is None or self.heard_leading_at >= self.suspicion.since:
             return 0
         return self.suspicion.unled + 1
 
     def other_members(self) -> list[str]:
-        """Return the addresses of the members that are neither this one nor the leader."""
-        apart = {self._settings.name, "" if self.record is None else self.record.name}
-        return [address for name, address in self.addresses.items() if name not in apart]
+        """Return the addresses of the members other than this one and the leader."""
+        excluded = {self._settings.name, "" if self.record is None else self.record.name}
+        return [address for name, address in self.addresses.items() if name not in excluded]
 
     async def call(self, message: Message, timeout: float) -> Reply:
         """Call the leader; raises ``CallFailed``."""
@@ -133,19 +138,19 @@
         return await self._link.call(message, timeout)
 
     async def call_once(self, address: str, message: Message, timeout: float) -> Reply:
-        """Call some member over a connection of its own; raises ``CallFailed``."""
+        """Call a member over a separate connection; raises ``CallFailed``."""
         link = await self._network.connect(address, self._handler, timeout)
-        serving = asyncio.get_running_loop().create_task(link.serve())
+        serve_task = asyncio.get_running_loop().create_task(link.serve())
         try:
             return await link.call(message, timeout)
         finally:
             link.close()
-            serving.cancel()
+            serve_task.cancel()
 
     async def view(self, address: str) -> LeaderView | None:
         """Ask another member for its view of the leader; ``None`` without an answer."""
         try:
-            view = await self.call_once(address, ViewCall(), VIEW_TIMEOUT)
+            view = await self.call_once(address, ViewCall(), VIEW_TIMEOUT_S)
         except CallFailed:
             return None
         return view if isinstance(view, LeaderView) else None
@@ -158,36 +163,39 @@
     # -- The connection ----------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Keep a connection to the leader without end."""
+        """Keep a connection to the leader until cancelled."""
         while True:
             record = self.record
             self._leader_changed.clear()
             if record is not None and record.name != self._settings.name:
-                served = await self._connect(record)
-                if served:
-                    # A process that has gone shows at the next try, and the sooner the better.
+                answered = await self._connect(record)
+                if answered:
+                    # Reconnect at once: if the process has ended, the next attempt is refused and
+                    # shows it.
                     continue
-            await self._pause(RECONNECT_PAUSE)
+            await self._pause(RECONNECT_PAUSE_S)
 
     async def _pause(self, seconds: float) -> None:
-        """Wait, but not beyond the moment when another leader becomes known."""
+        """Wait for at most some seconds, or until another leader becomes known."""
         await set_within(self._leader_changed, seconds)
 
     async def _connect(self, record: LeaderRecord) -> bool:
-        """Keep a connection while it lasts, and tell whether the leader has answered over it."""
+        """Connect and keep the connection until it ends; return whether the leader answered over
+        it."""
         try:
-            link = await self._network.connect(record.address, self._handler, CONNECT_TIMEOUT)
+            link = await self._network.connect(record.address, self._handler, CONNECT_TIMEOUT_S)
         except CallFailed as failed:
             if failed.refused:
                 self.suspicion.refused(monotonic())
             return False
-        return await self._keep(link, record)
+        return await self._ping_while_current(link, record)
 
-    async def _keep(self, link: Link, record: LeaderRecord) -> bool:
-        """Keep a link until it is over, or leads to a former leader; tell whether it answered."""
+    async def _ping_while_current(self, link: Link, record: LeaderRecord) -> bool:
+        """Ping over a link until it closes or its leader is replaced; return whether the leader
+        answered."""
         answered = False
         self._link = link
-        serving = asyncio.get_running_loop().create_task(link.serve())
+        serve_task = asyncio.get_running_loop().create_task(link.serve())
         try:
             while not link.closed and self.record is record:
                 await self._ping(link)
@@ -199,16 +207,16 @@
             self._link = None
             self.leads = False
             link.close()
-            serving.cancel()
+            serve_task.cancel()
         return answered
 
     def _ping_interval(self) -> float:
-        new = not self.leads and monotonic() - self.suspicion.since < NEW_LEADER_TIME
-        usual = NEW_PING_INTERVAL if new else PING_INTERVAL
-        return max(usual, min(MOST_PING_INTERVAL, self.cell / PINGS_A_SECOND))
+        is_new = not self.leads and monotonic() - self.suspicion.since < NEW_LEADER_PERIOD_S
+        interval = NEW_LEADER_PING_INTERVAL_S if is_new else PING_INTERVAL_S
+        return max(interval, min(MAX_PING_INTERVAL_S, self.cell / MAX_PINGS_PER_S))
 
     async def look(self, timeout: float) -> None:
-        """Ask the leader at once how it is, for some seconds at most."""
+        """Ping the leader at once, for at most some seconds."""
         link = self._link
         if link is None:
             return
@@ -227,17 +235,17 @@
             uptime,
             settings.standing,
             self.stopping,
-            self._roster,
+            self._addresses_version,
             self.configuration,
             self.cell,
         )
         asked_at = monotonic()
         pong = await link.call(ping, PING_TIMEOUT + self.suspicion.lateness())
-        # If another leader has become known meanwhile, this answer tells nothing of it.
+        # If another leader has become known meanwhile, this answer says nothing about that leader.
         if isinstance(pong, Pong) and self.epoch == epoch:
-            self._heard(pong, asked_at)
+            self._process_pong(pong, asked_at)
 
-    def _heard(self, pong: Pong, asked_at: float) -> None:
+    def _process_pong(self, pong: Pong, asked_at: float) -> None:
         now = monotonic()
         if pong.leader is not None and pong.leader.epoch > self.epoch:
             self.on_leader(pong.leader)
@@ -246,7 +254,7 @@
         self.leads = pong.leading and pong.epoch == self.epoch
         if pong.members is not None:
             self.addresses = pong.members
-        self._roster = pong.roster
+        self._addresses_version = pong.roster
         if self.leads:
             self.heard_leading_at = now
             self.cell = pong.cell or self.cell
--- a/src/sablemount/control/load.py
+++ b/src/sablemount/control/load.py
@@ -148,22 +148,24 @@
         self._attempts = 0
 
     async def run(
-        self, committer: Committer, reading: "asyncio.Task[Reading | None] | None"
+        self, committer: Committer, preload_task: "asyncio.Task[Reading | None] | None"
     ) -> list[Record]:
-        """Set the epoch and return the records stored at that point; ``reading`` may be a
-        preload."""
-        read_before = reading is not None
+        """Set the epoch and return the records stored at that point.
+
+        ``preload_task`` is a read that may have begun before the leadership.
+        """
+        read_before = preload_task is not None
         _logger.info("load started", extra={"epoch": self._epoch, "read_before": read_before})
         await committer.open()
         _logger.info("epoch set", extra=self._state())
         self._progress.kept(1)
         while True:
             self._attempts += 1
-            records = await load_records(self._store, reading, committer.end)
+            records = await load_records(self._store, preload_task, committer.end)
             if records is not None:
                 break
             _logger.info("load failed", extra={**self._state(), "why": self._store.why})
-            reading = None
+            preload_task = None
             await asyncio.sleep(RETRY_PAUSE_S)
         self._figures.observe("load", monotonic() - self._began_at)
         _logger.info("loaded", extra={**self._state(), "records": len(records)})
--- a/src/sablemount/control/messages.py
+++ b/src/sablemount/control/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the processes, and what a caller's front is told."""
+"""Messages between the processes, and the answers to callers' requests."""
 
 import enum
 from typing import TypeAlias
@@ -32,23 +32,23 @@
     "other_version",
 ]
 
-RETRY_AFTER = 1.0
-"""Seconds after which a caller that was refused is asked to come back."""
+RETRY_AFTER_S = 1.0
+"""Seconds after which a refused caller is asked to retry."""
 
 
 class LeaderRecord(msgspec.Struct, frozen=True):
-    """Who leads since when: the newest record of the leader topic."""
+    """Who leads, and in which epoch: the newest record of the leader topic."""
 
     epoch: int
     name: str
     address: str
     incarnation: str
     end: int = 0
-    """Where the topic ends after it; 0 if an earlier release wrote or told it."""
+    """End offset of the topic after this record; 0 if an earlier release wrote or sent it."""
 
 
 class Operation(enum.IntEnum):
-    """What a caller wants."""
+    """The operation that a caller requests."""
 
     SUBMIT = 0
     STATE = 1
@@ -56,7 +56,7 @@
 
 
 class Outcome(enum.IntEnum):
-    """What became of a caller's request; only ``UNKNOWN`` leaves open whether it took effect."""
+    """Outcome of a caller's request; only ``UNKNOWN`` leaves open whether it took effect."""
 
     DONE = 0
     NO_JOB = 1
@@ -65,13 +65,13 @@
     NOT_TAKEN = 4
     UNKNOWN = 5
     NO_KEY = 6
-    """The caller has shown no key of an organisation."""
+    """The caller has presented no key of an organisation."""
     NAME_TAKEN = 7
-    """Another organisation's job has that name."""
+    """A job of another organisation has that name."""
 
 
 class Ping(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """A member's sign of life to the leader; ``epoch`` is the highest leadership it knows."""
+    """A member's heartbeat to the leader; ``epoch`` is the highest epoch that it knows."""
 
     name: str
     address: str
@@ -79,15 +79,16 @@
     uptime: float = 0.0
     """Seconds since the member's process started."""
     standing: float = FULL
-    """How well the member's machine carries the lead."""
+    """Leader suitability of the member's machine."""
     stopping: bool = False
-    """Whether the member is being stopped, so that it can't take over."""
+    """Whether the member is being stopped, so that it cannot take over."""
     roster: int = 0
-    """Version of the addresses that this leader has given to the member."""
+    """Version of the addresses that this leader has sent to the member."""
     configuration: int = -1
     """Version of the configuration that the member has."""
     cell: int = 0
-    """How many members its last leader counted, that one included; 0 if none has told."""
+    """Number of members that its last leader counted, including that leader; 0 if none has reported
+    it."""
 
 
 class ViewCall(msgspec.Struct, frozen=True, tag=True):
@@ -95,9 +96,9 @@
 
 
 class CallerCall(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """A caller's request, passed to the leader once it is admitted.
+    """A caller's request, forwarded to the leader after admission.
 
-    Its key does not travel: what it stands for does.
+    The caller's key is not sent, only the organisation that it belongs to.
     """
 
     operation: Operation
@@ -105,13 +106,13 @@
     path: str
     spec: JobSpec | None = None
     organisation: str = ""
-    """Whose key the caller has shown; empty if none was needed."""
+    """The organisation whose key the caller has presented; empty if none was needed."""
     version: int = -1
-    """Version of the configuration by which it was admitted."""
+    """Version of the configuration under which the request was admitted."""
 
 
 class AdviseCall(msgspec.Struct, frozen=True, tag=True):
-    """The leader lets a member ask for advice; ``timeout`` is in seconds."""
+    """The leader has a member request advice; ``timeout`` is in seconds."""
 
     step: str
     vms: tuple[str, ...]
@@ -123,31 +124,35 @@
 
     version: int
     parts: bool = False
-    """Whether it takes it in parts; a process that knows of none sends it whole."""
+    """Whether it accepts the configuration in parts; a process that does not support them sends it
+    complete."""
     of: int = -1
     """Version of which it has some parts."""
     check: int = 0
-    """Checksum of that as it is sent."""
+    """Checksum of the transmitted form of that version."""
     offset: int = 0
-    """How many bytes of it have come."""
+    """Number of bytes of it already received."""
 
 
 class ConfigurationNews(msgspec.Struct, frozen=True, tag=True):
-    """A member gives a leader that takes no parts the newer configuration that it wants."""
+    """A member sends the newer configuration to a leader that wants it and does not accept
+    parts."""
 
     configuration: Configuration
 
 
 class TakeOver(msgspec.Struct, frozen=True, tag=True):
-    """The leader asks a member to lead."""
+    """The leader asks a member to take over."""
 
     epoch: int
     once_read: bool = False
-    """Whether there is time to read all that lasts first: this leader does not stop."""
+    """Whether to claim only after the persistent state is read: this leader is not being
+    stopped."""
 
 
 class Announce(msgspec.Struct, frozen=True, tag=True):
-    """A new leader tells a member that has not come to it, and may not reach the store."""
+    """A new leader announces itself to a member that has not connected and may not reach the
+    store."""
 
     leader: LeaderRecord
 
@@ -170,33 +175,34 @@
     epoch: int
     leading: bool
     store_silent: float
-    """For how long an answer of the store has been due to the leader."""
+    """Seconds for which an answer of the store to the leader has been overdue."""
     loading: bool = False
-    """Whether it is about to lead and reads what lasts."""
+    """Whether it is about to lead and is reading the persistent state."""
     members: dict[str, str] | None = None
-    """Addresses of the members that the leader has heard, by name, if there is a newer version."""
+    """Addresses by name of the members that the leader has heard, if there is a newer version."""
     roster: int = 0
     """Version of these addresses."""
     leader: LeaderRecord | None = None
-    """Who leads as far as a member knows that does not lead itself."""
+    """The leader known to a member that does not lead itself."""
     configuration: int = -1
     """Version of the configuration that the leader has."""
     configuration_age: float = 0.0
     """Seconds since it was last known to be the newest one."""
     wants_configuration: bool = False
-    """Whether a leader that takes no parts wants the member's, which is newer."""
+    """Whether a leader that does not accept parts wants the member's newer configuration."""
     cell: int = 0
-    """How many members the leader counts, itself included; 0 if the ping has told that number."""
+    """Number of members that the leader counts, including itself; 0 if equal to that in the
+    ping."""
     best: float = FULL
-    """Standing of the best member that could take over."""
+    """Suitability of the best member that could take over."""
     loaded: int = -1
-    """How far it is with what it reads, a number that grows; -1 if it does not tell."""
+    """Position of its load, which only increases; -1 if it is not reported."""
 
 
 class LeaderView(msgspec.Struct, frozen=True, tag=True):
-    """What a member knows of the leader: its epoch, and how long ago it was heard (seconds).
+    """A member's view of the leader: its epoch, and the seconds since it was last heard.
 
-    ``linked`` tells whether the member's connection to the leader stands.
+    ``linked`` is whether the member has a connection to the leader.
     """
 
     epoch: int
@@ -215,28 +221,31 @@
     reason: str = ""
     retry_after: float = 0.0
     changing: bool = False
-    """Whether the leader is changing, so that the member that asked may ask again at once."""
+    """Whether the leader is changing, so that the member that forwarded the request may retry at
+    once."""
     version: int = -1
-    """The leader's version of the configuration, if the call was admitted by another one."""
+    """The leader's version of the configuration, if the call was admitted under another one."""
     organisation: str = ""
-    """Whose call was refused, for the log line; empty if that is not known."""
+    """The organisation whose call was refused, for the log line; empty if unknown."""
     epoch: int = 0
-    """Under which leader it was answered, for the log line; 0 if none was asked."""
+    """Epoch of the leader that answered, for the log line; 0 if none was asked."""
 
 
 def not_taken(reason: str, changing: bool = False) -> CallerReply:
-    """Return the answer to what has certainly not run, with a time to come back."""
-    return CallerReply(Outcome.NOT_TAKEN, reason=reason, retry_after=RETRY_AFTER, changing=changing)
+    """Return the answer to a request that has certainly not taken effect, with a time to retry."""
+    return CallerReply(
+        Outcome.NOT_TAKEN, reason=reason, retry_after=RETRY_AFTER_S, changing=changing
+    )
 
 
 def other_version(version: int) -> CallerReply:
-    """Return the answer to a call that was judged by another version than the leader's."""
+    """Return the answer to a call that was admitted under a version other than the leader's."""
     reply = not_taken("the configuration is changing", changing=True)
     return msgspec.structs.replace(reply, version=version)
 
 
 class AdviceReply(msgspec.Struct, frozen=True, tag=True):
-    """Tickets by VM, or none with ``ok`` false if there was no usable answer."""
+    """Advice tickets by VM; ``ok`` is false if there was no usable answer."""
 
     ok: bool
     good: dict[str, str] = {}
@@ -244,21 +253,21 @@
 
 
 class ConfigurationReply(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """A newer configuration or a part of it; nothing if there is none."""
+    """A newer configuration or a part of it; empty if there is none."""
 
     configuration: Configuration | None = None
-    """The whole, for a process that takes no parts."""
+    """The complete configuration, for a process that does not accept parts."""
     part: bytes = b""
-    """What follows an offset, compressed."""
+    """The compressed bytes from an offset."""
     of: int = -1
-    """Version of which this is a part."""
+    """Version that this is a part of."""
     check: int = 0
     """Checksum of all parts together."""
     offset: int = 0
     size: int = 0
-    """Bytes of all parts together."""
+    """Total bytes of all parts."""
     later: float = 0.0
-    """Seconds after which to ask again, as others have their turn."""
+    """Seconds after which to ask again, while other processes are served."""
 
 
 class TakeOverReply(msgspec.Struct, frozen=True, tag=True):
--- a/src/sablemount/control/preload.py
+++ b/src/sablemount/control/preload.py
@@ -90,7 +90,8 @@
 ) -> list[Record] | None:
     """Return the newest records up to ``end``, after which no other process writes, if it is known.
 
-    ``reading`` may be a preload. Return ``None`` if the store does not answer.
+    ``preload_task`` is a read that may have begun before. Return ``None`` if the store does not
+    answer.
     """
     snapshot = await preload_task if preload_task is not None else None
     if snapshot is not None and end is not None:
@@ -105,7 +106,7 @@
     loaded = await read_newest(store, Topic.JOBS, RETRY_INTERVAL_S, STALL_TIMEOUT_S)
     if isinstance(loaded, Unavailable):
         extra = {"why": loaded.reason, "received": loaded.received}
-        _logger.info("preload failed", extra=extra)
+        _logger.info("reading job records failed", extra=extra)
         return None
     items, end = loaded
     return Reading([item.record for item in items], end)
