--- a/src/sablemount/control/member.py
+++ b/src/sablemount/control/member.py
@@ -1,4 +1,4 @@
-"""A process of the system: it follows the leader, or leads, and passes callers' requests on."""
+"""A process of the system: it follows the leader or leads, and forwards callers' requests."""
 
 import asyncio
 import logging
@@ -30,19 +30,21 @@
 
 __all__ = ["Member"]
 
-WATCH_FRESH_START = 8.0
-"""Seconds after which who leads is listed anew: its record may be dropped before it was read."""
-LEADING_FRESH_START = 1.0
-"""The same for the configuration while this process leads: members ask it what is in force."""
+RELIST_INTERVAL_S = 8.0
+"""Seconds after which the leader records are listed anew: one may be dropped before it was read."""
+LEADING_RELIST_INTERVAL_S = 1.0
+"""The same interval for the configuration while this process leads: members ask it for the current
+one."""
 WATCH_INTERVAL = 0.05
-"""Seconds between looks at whether to claim, a small part of the silence that is waited for."""
-READY_GRACE = 1.0
-"""Seconds after it last could serve for which a member still calls itself ready."""
-UNCONFIRMED_AFTER = 8.0
-"""Seconds without a confirmed configuration after which this member's own reads are taken to fail:
-the leader's answers confirm it all the while, and a slow store does in less."""
-CONFIRMATIONS = 4
-"""How often the configuration is confirmed in the time after which it would count as not so."""
+"""Seconds between checks whether to claim, a small part of the silence that leads to a claim."""
+READY_GRACE_S = 1.0
+"""Seconds after it could last serve for which a member still reports that it is ready."""
+UNCONFIRMED_TIMEOUT_S = 8.0
+"""Seconds without a confirmed configuration after which this member's own reads count as failing: a
+healthy leader's answers confirm it continuously, and a slow store takes less than this."""
+CONFIRMATIONS_PER_TIMEOUT = 4
+"""Number of confirmations of the configuration within the time after which it counts as
+unconfirmed."""
 
 _logger = logging.getLogger("sablemount.control.member")
 
@@ -67,10 +69,10 @@
         self._rng = rng
         self._network = network
         self._listener: Listener | None = None
-        self._led_at = -1e9
+        self._last_led_at = -1e9
         self._link = LeaderLink(settings, network, self._handle)
-        self._progress = LoadProgress()
-        self._preload = Preload(LoadStore(ports.store, self._progress))
+        self._load_progress = LoadProgress()
+        self._preload = Preload(LoadStore(ports.store, self._load_progress))
         self._election = Election(
             settings,
             ports.store,
@@ -78,16 +80,16 @@
             rng,
             self.figures,
             self._follow,
-            self._won,
+            self._on_won,
             self._preload.begin,
-            lambda: self.feed.age < UNCONFIRMED_AFTER,
+            lambda: self.feed.age < UNCONFIRMED_TIMEOUT_S,
         )
         self._link.on_leader = self._follow
-        self._discovery = Discovery(self._link, rng, self._leads_or_knows, self._follow)
-        self._watch = Follower(
-            ports.store, Topic.LEADER, self._election.listed, self._election.told, WATCH_FRESH_START
+        self._discovery = Discovery(self._link, rng, self._leader_known, self._follow)
+        self._leader_follower = Follower(
+            ports.store, Topic.LEADER, self._election.listed, self._election.told, RELIST_INTERVAL_S
         )
-        self._asked = asyncio.Event()
+        self._takeover_requested = asyncio.Event()
         """Set when the leader has asked this member to take over."""
         self._background = Background(error_logger(_logger))
         self.feed = ConfigurationFeed(
@@ -102,52 +104,56 @@
             self._link,
             self.feed,
             ports.advice,
-            Successor(self._link, self._preload, self._prepared, self._background.spawn),
+            Successor(self._link, self._preload, self._request_claim, self._background.spawn),
             lambda: self.leader,
             self._follow,
         )
         self._route = CallerRoute(
-            settings, self._link, self.feed, self.figures, self._leading, self._served_at
+            settings, self._link, self.feed, self.figures, self._leading, self._last_served_at
         )
-        self._configurations = Follower(
+        self._configuration_follower = Follower(
             ports.store,
             Topic.CONFIGURATION,
             self.feed.listed,
             self.feed.told,
-            WATCH_FRESH_START,
+            RELIST_INTERVAL_S,
             self.feed.confirmed,
-            self._longest_wait(),
+            self._max_read_wait(),
         )
 
-    def _longest_wait(self) -> float:
-        """Return for how many seconds a read of the configuration may wait for a new one."""
+    def _max_read_wait(self) -> float:
+        """Return the seconds for which a read of the configuration may wait for a new one."""
         settings = self.settings
-        return settings.revoke_after / CONFIRMATIONS if settings.fail_closed else float("inf")
+        return (
+            settings.revoke_after / CONFIRMATIONS_PER_TIMEOUT
+            if settings.fail_closed
+            else float("inf")
+        )
 
     # -- Life --------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Listen and begin to follow."""
+        """Listen for connections and start the background tasks."""
         address = self.settings.rpc_address
-        self._listener = self._network.listen(address, self._handle, self._link_closed)
+        self._listener = self._network.listen(address, self._handle, self._on_link_closed)
         for work in (
-            self._watch.run(),
-            self._configurations.run(),
+            self._leader_follower.run(),
+            self._configuration_follower.run(),
             self._link.run(),
-            self._judge_forever(),
+            self._claim_when_due(),
             self._discovery.run(),
         ):
             self._background.spawn(work)
 
     async def stop(self) -> None:
-        """Hand over what this member leads."""
+        """Hand over the leadership if this member leads."""
         self.stopping = self._link.stopping = True
         leader = self.leader
         if leader is not None:
             await hand_over(leader)
 
     def close(self) -> None:
-        """End all connections and tasks."""
+        """Close all connections and cancel all tasks."""
         self._background.close()
         if self._listener is not None:
             self._listener.close_all()
@@ -157,24 +163,24 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether this member can serve callers."""
-        known = not self.stopping and self.feed.version >= 0
-        return known and monotonic() - self._served_at() < READY_GRACE
+        """Return whether this member can serve callers."""
+        configured = not self.stopping and self.feed.version >= 0
+        return configured and monotonic() - self._last_served_at() < READY_GRACE_S
 
-    def _served_at(self) -> float:
-        """Return when this member last led or heard a leader that leads."""
-        return max(self._led_at, self._link.heard_leading_at)
+    def _last_served_at(self) -> float:
+        """Return when this member last led, or last heard from a leader that leads."""
+        return max(self._last_led_at, self._link.heard_leading_at)
 
     def _leading(self) -> Leader | None:
         leader = self.leader
         return leader if leader is not None and leader.leading else None
 
-    def _leads_or_knows(self) -> bool:
-        """Tell whether this member leads, or is linked to one that does."""
+    def _leader_known(self) -> bool:
+        """Return whether this member leads or is connected to a leader that does."""
         return self.leader is not None or self._link.leads
 
     def gauges(self) -> dict[str, float]:
-        """Return the figures of the present state."""
+        """Return the gauges of the present state."""
         figures = {"epoch": float(self._link.epoch), "ready": float(self.ready), "leading": 0.0}
         figures["configuration_version"] = float(self.feed.version)
         figures["configuration_age_seconds"] = self.feed.age
@@ -196,34 +202,34 @@
 
     # -- Who leads ---------------------------------------------------------------------------
 
-    def _follow(self, seen: LeaderRecord) -> None:
-        if not self._link.follow(seen):
+    def _follow(self, record: LeaderRecord) -> None:
+        if not self._link.follow(record):
             return
-        if self.leader is not None and self.leader.epoch < seen.epoch:
+        if self.leader is not None and self.leader.epoch < record.epoch:
             self.leader.end("another member leads")
 
-    async def _judge_forever(self) -> None:
+    async def _claim_when_due(self) -> None:
         while True:
-            await set_within(self._asked, WATCH_INTERVAL)
-            self._asked.clear()
+            await set_within(self._takeover_requested, WATCH_INTERVAL)
+            self._takeover_requested.clear()
             if self.leader is not None:
                 if self.leader.authority():
-                    self._led_at = monotonic()
+                    self._last_led_at = monotonic()
             elif not self.stopping:
                 await self._election.consider()
 
-    def _prepared(self, epoch: int) -> None:
-        """Claim at once, as the leader of an epoch has asked for."""
+    def _request_claim(self, epoch: int) -> None:
+        """Claim at once, as the leader of an epoch has requested."""
         self._election.asked(epoch)
-        self._asked.set()
+        self._takeover_requested.set()
 
-    def _won(self, epoch: int) -> None:
+    def _on_won(self, epoch: int) -> None:
         self._background.spawn(self._lead(epoch))
 
     async def _lead(self, epoch: int) -> None:
         if self.leader is not None or self.stopping:
             return
-        read_before = self._preload.take()
+        preload_task = self._preload.take()
         uplink = self.settings.limits.link * BYTES_OF_MBIT
         leader = Leader(
             self.settings.name,
@@ -233,29 +239,29 @@
             self._rng,
             self.figures,
             self.feed,
-            self._election.take_reading() or read_before,
+            self._election.take_reading() or preload_task,
             Roster(self._link.addresses, uplink),
             self._link.cell,
-            self._progress,
+            self._load_progress,
             uplink,
         )
         self.leader = leader
-        self._configurations.pace(
-            LEADING_FRESH_START, min(LEADING_FRESH_START, self._longest_wait())
+        self._configuration_follower.pace(
+            LEADING_RELIST_INTERVAL_S, min(LEADING_RELIST_INTERVAL_S, self._max_read_wait())
         )
         record = self._link.record
         assert record is not None
-        announcing = self._background.spawn(
+        announce_task = self._background.spawn(
             announce(record, self._link, lambda: leader.leading, leader.members.heard)
         )
-        relieving = self._background.spawn(relieve(leader, self.settings.standing))
+        relieve_task = self._background.spawn(relieve(leader, self.settings.standing))
         try:
             await leader.run()
         finally:
-            announcing.cancel()
-            relieving.cancel()
+            announce_task.cancel()
+            relieve_task.cancel()
             self.leader = None
-            self._configurations.pace(WATCH_FRESH_START, self._longest_wait())
+            self._configuration_follower.pace(RELIST_INTERVAL_S, self._max_read_wait())
             self._link.cell = leader.members.size
             self._election.rest()
             leader.members.close_links()
@@ -265,7 +271,7 @@
     async def _handle(self, link: Link, message: Message) -> Reply:
         return await self._calls.handle(link, message)
 
-    def _link_closed(self, link: Link) -> None:
+    def _on_link_closed(self, link: Link) -> None:
         if self.leader is not None:
             self.leader.members.link_closed(link)
 
@@ -276,6 +282,6 @@
     ) -> CallerReply:
         """Answer a caller's request, here or through the leader; ``timeout`` is in seconds.
 
-        ``digest`` is that of the caller's key, if it has shown one.
+        ``digest`` is that of the caller's key, if one was presented.
         """
         return await self._route.serve(call, timeout, digest)
--- a/src/sablemount/control/member_calls.py
+++ b/src/sablemount/control/member_calls.py
@@ -1,4 +1,4 @@
-"""What a member answers to the calls of other members."""
+"""Answers the calls that a member receives from other members."""
 
 from collections.abc import Callable
 
@@ -31,10 +31,10 @@
 
 
 class MemberCalls:
-    """Answers pings, questions for the leader, callers' requests and calls for advice.
+    """Answers pings, queries about the leader, callers' requests and requests for advice.
 
-    ``leader`` returns the leadership of this process, also while it loads, and ``on_leader`` takes
-    a later leader that is announced.
+    ``leader`` returns the leadership of this process, also while it loads, and ``on_leader``
+    receives a later leader that is announced.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         self._on_leader = on_leader
 
     async def handle(self, link: Link, message: Message) -> Reply:
-        """Answer a call that came over a link."""
+        """Answer a call that was received over a link."""
         if isinstance(message, Ping):
-            return self._pinged(link, message)
+            return self._answer_ping(link, message)
         if isinstance(message, ViewCall):
-            return self._own_view()
+            return self._view()
         if isinstance(message, Announce):
             self._on_leader(message.leader)
-            return self._own_view()
+            return self._view()
         if isinstance(message, CallerCall):
             return await self._serve(message)
         if isinstance(message, ConfigurationCall):
@@ -73,14 +73,14 @@
             return await self._advice.advise(message.step, message.vms, message.timeout)
         return self._successor.asked(message)
 
-    def _own_view(self) -> LeaderView:
+    def _view(self) -> LeaderView:
         leader = self._leader()
         if leader is not None and leader.leading:
             return LeaderView(leader.epoch, 0.0, True, self._link.record)
         age = self._link.suspicion.heard_age(monotonic())
         return LeaderView(self._link.epoch, age, self._link.linked, self._link.record)
 
-    def _pinged(self, link: Link, ping: Ping) -> Pong:
+    def _answer_ping(self, link: Link, ping: Ping) -> Pong:
         leader = self._leader()
         if leader is None or not leader.leading:
             loading = leader is not None and not leader.over.is_set()
--- a/src/sablemount/control/network.py
+++ b/src/sablemount/control/network.py
@@ -1,4 +1,4 @@
-"""What a member needs to reach other members: connections on which either side may call."""
+"""Interface to other members: connections on which either side may call the other."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol, TypeAlias
@@ -9,9 +9,9 @@
 
 
 class CallFailed(Exception):
-    """No answer to a call; it may have been carried out unless ``sent`` is false.
+    """A call had no answer; unless ``sent`` is false, it may have taken effect.
 
-    ``refused`` tells that nothing listens at the address, ``closed`` that the connection ended.
+    ``refused`` means that nothing listens at the address, ``closed`` that the connection ended.
     """
 
     def __init__(
@@ -24,13 +24,13 @@
 
 
 class Link(Protocol):
-    """One connection; ``peer`` is the name of the other side, once it has told it."""
+    """One connection; ``peer`` is the name of the other side, once it is known."""
 
     peer: str
 
     @property
     def closed(self) -> bool:
-        """Tell whether the connection is over."""
+        """Return whether the connection is closed."""
         ...
 
     async def call(self, message: Message, timeout: float) -> Reply:
@@ -38,11 +38,11 @@
         ...
 
     async def serve(self) -> None:
-        """Take calls until the connection is over."""
+        """Answer calls until the connection is closed."""
         ...
 
     def close(self) -> None:
-        """Close the connection; calls without an answer fail."""
+        """Close the connection; unanswered calls fail."""
         ...
 
 
@@ -50,10 +50,10 @@
 
 
 class Listener(Protocol):
-    """A place where others connect."""
+    """A listening address."""
 
     def close_all(self) -> None:
-        """Take no connections any more, and close those that are open."""
+        """Stop listening and close all open connections."""
         ...
 
 
@@ -65,5 +65,5 @@
         ...
 
     def listen(self, address: str, handler: Handler, closed: Callable[[Link], None]) -> Listener:
-        """Take connections at an address; ``closed`` is told of each that ends."""
+        """Accept connections at an address; ``closed`` is called for each that ends."""
         ...
