--- a/src/sablemount/control/announcer.py
+++ b/src/sablemount/control/announcer.py
@@ -1,5 +1,4 @@
-"""Announces a new leader to the members that have not connected to it: they may not reach the
-store."""
+"""Announces a new leader to members that have not connected, as they may not reach the store."""
 
 import asyncio
 import logging
--- a/src/sablemount/control/authority.py
+++ b/src/sablemount/control/authority.py
@@ -43,11 +43,10 @@
         self._ticked_at = monotonic()
 
     def confirmed(self, asked_at: float) -> None:
-        """Record that the store has confirmed the leadership in answer to a request made at
-        ``asked_at``.
+        """Record that the store has confirmed the leadership.
 
-        A request from before a pause may also have been answered before it, so its answer proves
-        nothing.
+        The confirmation was requested at ``asked_at``. A request from before a pause may also have
+        been answered before it, so its answer proves nothing.
         """
         if self._paused_at is not None and asked_at >= self._paused_at:
             self._paused_at = None
--- a/src/sablemount/control/clock.py
+++ b/src/sablemount/control/clock.py
@@ -1,5 +1,7 @@
-"""Clocks of a process. Durations are measured on the event loop's clock, so that tests can run in
-virtual time."""
+"""Clocks of a process.
+
+Durations are measured on the event loop's clock, so that tests can run in virtual time.
+"""
 
 import asyncio
 import contextlib
--- a/src/sablemount/control/election.py
+++ b/src/sablemount/control/election.py
@@ -210,20 +210,21 @@
         if not await self._verified(reason):
             self._paused_until = monotonic() + CLAIM_PAUSE_S
             return
-        if self._are_stale(grounds):
+        if self._is_stale(grounds):
             self._figures.count("doubt dropped", reason)
             return
         self._takeover_epoch = None
         await self._claim(grounds)
 
-    def _are_stale(self, grounds: ClaimGrounds) -> bool:
-        """Return whether the grounds are outdated: there is a later leader, or this one was
-        heard."""
+    def _is_stale(self, grounds: ClaimGrounds) -> bool:
+        """Return whether there is a later leader, or this one has been heard again."""
         return self._position() != grounds.at or self._claim_reason() is None
 
     def _position(self) -> Position:
-        """Return the position of the next claim; the end offset may come from another member's
-        record."""
+        """Return the position of the next claim.
+
+        Its end offset may come from a record that another member has sent.
+        """
         record = self._link.record
         return Position(self._link.epoch, max(self._end, 0 if record is None else record.end))
 
@@ -262,10 +263,10 @@
         return True
 
     async def _preloaded(self) -> bool:
-        """Return whether this member has read the persistent state; ping the leader once more if
-        so.
+        """Return whether this member has read the persistent state.
 
-        A member that cannot read it would fail to lead, so that its claim would only cost time.
+        If so, the leader is pinged once more, so that its present state counts. A member that
+        cannot read the state would fail to lead, so that its claim would only cost time.
         """
         if self._preload_task is None:
             self._preload_task = self._start_preload()
@@ -383,8 +384,7 @@
         self._lead_if_won(epoch)
 
     async def _append(self, record: Record, end: int) -> AppendResult | None:
-        """Append the claim; a duplicate is refused, and the first one is then found by reading the
-        topic."""
+        """Append the claim; a duplicate is refused, and the first found by reading the topic."""
         result = await self._store.append(Topic.LEADER, [record], CLAIM_TIMEOUT_S, at=end)
         return None if isinstance(result, Unavailable) else result
 
--- a/src/sablemount/control/leader.py
+++ b/src/sablemount/control/leader.py
@@ -1,5 +1,4 @@
-"""One leadership: loads the persistent state, then runs the job scheduler until the leadership
-ends."""
+"""One leadership: loads the persistent state, then runs the job scheduler until it ends."""
 
 import asyncio
 import logging
@@ -168,8 +167,7 @@
                 self._load_task.cancel()
 
     async def drain(self) -> None:
-        """Accept no more calls, and wait a limited time until the accepted ones are in the
-        store."""
+        """Accept no more calls, and wait briefly until the accepted ones are in the store."""
         self.closing = True
         deadline = monotonic() + DRAIN_TIMEOUT_S
         while self.commits.busy() and monotonic() < deadline:
@@ -271,8 +269,7 @@
             duration = monotonic() - began
 
     async def _tick_while_loading(self) -> None:
-        """Keep ticking, so that the duration of a load is not mistaken for a pause of the
-        process."""
+        """Keep ticking, so that a long load is not mistaken for a pause of the process."""
         while True:
             self._authority.tick()
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -321,8 +318,7 @@
     # -- The directory -----------------------------------------------------------------------
 
     def _apply_deferred_updates(self) -> None:
-        """Apply the updates of the VM list that arrived while the previous leader's records were
-        loaded."""
+        """Apply the updates of the VM list that arrived while records were being loaded."""
         deferred = self._deferred_updates or []
         self._deferred_updates = None
         for apply_update in deferred:
--- a/src/sablemount/control/leader_link.py
+++ b/src/sablemount/control/leader_link.py
@@ -120,8 +120,7 @@
         return True
 
     def _count_leaderless_epochs(self) -> int:
-        """Return how many consecutive leaders, including the present one, were never heard to
-        lead."""
+        """Return how many leaders in a row, including this one, were never heard to lead."""
         if self.record is None or self.heard_leading_at >= self.suspicion.since:
             return 0
         return self.suspicion.unled + 1
@@ -180,8 +179,7 @@
         await set_within(self._leader_changed, seconds)
 
     async def _connect(self, record: LeaderRecord) -> bool:
-        """Connect and keep the connection until it ends; return whether the leader answered over
-        it."""
+        """Connect and keep the connection until it ends; return whether the leader answered."""
         try:
             link = await self._network.connect(record.address, self._handler, CONNECT_TIMEOUT_S)
         except CallFailed as failed:
@@ -191,8 +189,7 @@
         return await self._ping_while_current(link, record)
 
     async def _ping_while_current(self, link: Link, record: LeaderRecord) -> bool:
-        """Ping over a link until it closes or its leader is replaced; return whether the leader
-        answered."""
+        """Ping until the link closes or its leader is replaced; return whether it answered."""
         answered = False
         self._link = link
         serve_task = asyncio.get_running_loop().create_task(link.serve())
--- a/src/sablemount/control/load.py
+++ b/src/sablemount/control/load.py
@@ -84,8 +84,10 @@
 
 
 class LoadStore:
-    """The store, with progress recorded for a load's reads; ``last_error`` is why a read last
-    failed."""
+    """The store, with the progress of a load's reads recorded.
+
+    ``last_error`` is the reason why a read last failed.
+    """
 
     def __init__(self, store: Store, progress: LoadProgress) -> None:
         self._store = store
--- a/src/sablemount/control/members.py
+++ b/src/sablemount/control/members.py
@@ -100,13 +100,14 @@
         self.size = max(self.size, observed) if keep_size else observed
 
     def majority(self) -> bool:
-        """Return whether a majority was heard recently, so that no other leader hears a
-        majority."""
+        """Return whether a majority was heard recently, so that no other leader can hear one."""
         return self._is_majority(self.heard())
 
     def stand_in(self) -> bool:
-        """Return whether a majority of the counted members, and at least one besides this, was
-        heard recently."""
+        """Return whether a majority of the counted members was heard recently.
+
+        At least one member besides this one has to be among them.
+        """
         heard = self.heard() & self._counted
         return bool(heard) and self._is_majority(heard)
 
@@ -130,8 +131,10 @@
         return [(name, row.link) for name, row in candidates]
 
     def best_standing(self) -> float:
-        """Return the best suitability of the members that could take over; ``FULL_STANDING``
-        without any."""
+        """Return the best suitability of the members that could take over.
+
+        The result is ``FULL_STANDING`` without such members.
+        """
         now = monotonic()
         if now - self._best_at >= BEST_STANDING_TTL_S:
             self._best_at = now
@@ -140,8 +143,7 @@
         return self._best
 
     def better(self, own: float) -> list[tuple[str, Link]]:
-        """Return the members clearly more suitable than the leader that have been up for a
-        while."""
+        """Return the members clearly more suitable than the leader that are up long enough."""
         rows = self._rows
         return [
             (name, link)
--- a/src/sablemount/control/messages.py
+++ b/src/sablemount/control/messages.py
@@ -135,8 +135,7 @@
 
 
 class ConfigurationNews(msgspec.Struct, frozen=True, tag=True):
-    """A member sends the newer configuration to a leader that wants it and does not accept
-    parts."""
+    """A member sends its newer configuration to a leader that does not accept parts."""
 
     configuration: Configuration
 
@@ -151,8 +150,7 @@
 
 
 class Announce(msgspec.Struct, frozen=True, tag=True):
-    """A new leader announces itself to a member that has not connected and may not reach the
-    store."""
+    """A new leader announces itself to a member that has not connected to it."""
 
     leader: LeaderRecord
 
--- a/src/sablemount/control/preload.py
+++ b/src/sablemount/control/preload.py
@@ -43,8 +43,7 @@
 
 
 class Preload:
-    """Reads the newest records while a claim is prepared, and reads them again once they are too
-    old."""
+    """Reads the newest records while a claim is prepared, and again once they are too old."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
--- a/src/sablemount/control/progress.py
+++ b/src/sablemount/control/progress.py
@@ -1,5 +1,4 @@
-"""Progress of an answer that is being received, so that a long answer is not mistaken for a lost
-one."""
+"""Progress of an answer in transit, so that a long one is not mistaken for a lost one."""
 
 from sablemount.control.clock import monotonic
 
--- a/src/sablemount/control/roster.py
+++ b/src/sablemount/control/roster.py
@@ -1,5 +1,4 @@
-"""Membership list: the addresses of all members, sent by a leader only to those with an old
-version.
+"""The membership list: the addresses of all members, sent only to members with an old version.
 
 A list in each answer to a ping grows with the square of the number of members: 97 members that ping
 every 0.15 s were sent 2 MB/s, 297 were sent 20 MB/s.
@@ -28,7 +27,7 @@
         self.addresses = addresses
         self._uplink = uplink
         self._link_free_at = -1e9
-        """When the link has had time for the last list."""
+        """When the link will have had time for the last list."""
         self.version = 1 if addresses else 0
         self._changed = False
         self._version_at = -1e9
--- a/src/sablemount/control/rpc.py
+++ b/src/sablemount/control/rpc.py
@@ -140,8 +140,7 @@
 
 
 def set_user_timeout(stream: iostream.IOStream) -> None:
-    """Limit the time for which sent bytes may stay unacknowledged before the connection is
-    dropped."""
+    """Drop a connection whose sent bytes stay unacknowledged for ``USER_TIMEOUT_MS``."""
     option = getattr(socket, "TCP_USER_TIMEOUT", None)
     if option is not None and stream.socket is not None:
         stream.socket.setsockopt(socket.IPPROTO_TCP, option, USER_TIMEOUT_MS)
