--- a/src/sablemount/control/__init__.py
+++ b/src/sablemount/control/__init__.py
@@ -1,1 +1,1 @@
-"""The processes of one system: who leads, how they talk, and what the leader keeps going."""
+"""The processes of one system: leader election, communication, and the work of the leader."""
--- a/src/sablemount/control/leader.py
+++ b/src/sablemount/control/leader.py
@@ -131,7 +131,7 @@
         """Updates of the VM list that arrived before the load was complete; the loaded records show
         which VMs were in use."""
 
-    # -- Life --------------------------------------------------------------------------------
+    # -- Lifecycle ---------------------------------------------------------------------------
 
     async def run(self) -> str:
         """Lead until the leadership ends; return the reason."""
--- a/src/sablemount/control/member.py
+++ b/src/sablemount/control/member.py
@@ -130,7 +130,7 @@
             else float("inf")
         )
 
-    # -- Life --------------------------------------------------------------------------------
+    # -- Lifecycle ---------------------------------------------------------------------------
 
     def start(self) -> None:
         """Listen for connections and start the background tasks."""
--- a/src/sablemount/control/members.py
+++ b/src/sablemount/control/members.py
@@ -83,7 +83,7 @@
         now = monotonic()
         return {name for name, row in self._rows.items() if now - row.heard_at < RECENT_S}
 
-    # -- Most of all -------------------------------------------------------------------------
+    # -- Majority ----------------------------------------------------------------------------
 
     def count(self) -> None:
         """Update which members belong to the cell, while the store's last confirmation is recent.
--- a/tests/jobs/running.py
+++ b/tests/jobs/running.py
@@ -1,4 +1,4 @@
-"""The emulated system as tests begin with it."""
+"""Starting points of tests with the emulated system."""
 
 import asyncio
 import random
@@ -6,12 +6,12 @@
 from tests.emulator import faults as kinds
 from tests.emulator.system import System
 
-MIXED = 5
-"""Faults in a mix."""
+FAULTS_IN_MIX = 5
+"""Number of faults in a mix."""
 
 
 async def begun(system: System, seconds: float = 2.0) -> str:
-    """Start all members, let some seconds go by, and return who leads."""
+    """Start all members, wait for some seconds, and return the leader's name."""
     system.start_all()
     await asyncio.sleep(seconds)
     leader = system.leader()
@@ -20,6 +20,6 @@
 
 
 def mix(seed: int) -> list[kinds.Fault]:
-    """Return some faults in a row, by a seed."""
+    """Return a sequence of faults determined by a seed."""
     rng = random.Random(seed)
-    return [rng.choice(kinds.FAULTS) for _ in range(MIXED)]
+    return [rng.choice(kinds.FAULTS) for _ in range(FAULTS_IN_MIX)]
--- a/tests/jobs/stores.py
+++ b/tests/jobs/stores.py
@@ -1,4 +1,4 @@
-"""A store that does something else with some appends."""
+"""An emulated store in which a test intercepts appends."""
 
 from sablemount.control.store import AppendResult, Producer, Topic
 from sablemount.jobs.records import Record
@@ -6,7 +6,7 @@
 
 
 class ArrangedStore(EmulatedStore):
-    """Carries out an append unless ``arranged`` answers in its place."""
+    """Carries out an append unless ``arranged`` returns an answer for it."""
 
     async def append(
         self,
--- a/tests/jobs/test_authority.py
+++ b/tests/jobs/test_authority.py
@@ -1,4 +1,4 @@
-"""A leader that was paused gives no orders until the store has answered what it asked since."""
+"""A leader that was paused sends no requests until the store has confirmed it anew."""
 
 import asyncio
 
--- a/tests/jobs/test_background.py
+++ b/tests/jobs/test_background.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody waits for are held, and their errors are told."""
+"""Background tasks are referenced until they are done, and their errors are reported."""
 
 import asyncio
 import logging
@@ -14,10 +14,10 @@
 
 
 def test_an_error_is_logged() -> None:
-    lines: list[logging.LogRecord] = []
+    records: list[logging.LogRecord] = []
     logger = logging.Logger("any")
     handler = logging.Handler()
-    handler.emit = lines.append  # type: ignore[method-assign]
+    handler.emit = records.append  # type: ignore[method-assign]
     logger.addHandler(handler)
     error = ValueError("wrong")
 
@@ -26,35 +26,35 @@
         await asyncio.sleep(0.01)
 
     run(scenario())
-    (line,) = lines
-    assert line.levelno == logging.ERROR
-    assert line.exc_info is not None
-    assert line.exc_info[1] is error
+    (record,) = records
+    assert record.levelno == logging.ERROR
+    assert record.exc_info is not None
+    assert record.exc_info[1] is error
 
 
 @pytest.mark.parametrize("elsewhere", [False, True])
 def test_what_goes_on_is_cancelled_in_order_and_that_is_no_error(elsewhere: bool) -> None:
     errors: list[BaseException] = []
-    ended: list[int] = []
+    cancelled: list[int] = []
 
-    async def go_on(number: int) -> None:
+    async def wait_long(number: int) -> None:
         try:
             await asyncio.sleep(60.0)
         finally:
-            ended.append(number)
+            cancelled.append(number)
 
     async def scenario() -> None:
         background = Background(errors.append)
         for number in range(5):
             if elsewhere:
-                background.keep(asyncio.create_task(go_on(number)))
+                background.keep(asyncio.create_task(wait_long(number)))
             else:
-                background.spawn(go_on(number))
+                background.spawn(wait_long(number))
         await asyncio.sleep(1.0)
-        assert ended == []
+        assert cancelled == []
         background.close()
         await asyncio.sleep(0.01)
-        assert ended == [0, 1, 2, 3, 4]
+        assert cancelled == [0, 1, 2, 3, 4]
 
     run(scenario())
     assert errors == []
--- a/tests/jobs/test_cut_off_leader.py
+++ b/tests/jobs/test_cut_off_leader.py
@@ -1,13 +1,11 @@
-"""A leader that was cut off with one other member kept VMs at work whose tasks ran elsewhere too.
-
-While the store answers nobody, the pings of the members stand in for its word, so that orders go on
-in an outage. One ping was enough. A leader that was cut off from the store together with another
-member and some VMs could not tell that from an outage: it extended the leases of these VMs for
-30 s, while a leader that had been elected on the other side took them for over after 8.6 s and
-started what ran there a second time.
-
-What settled it: with 4 members and 6 VMs, the leader, a member and 3 VMs cut off, 16 tasks ran
-twice at once, the first of them 7.7 s after the cut; 15 to 17 tasks with the other sizes below.
+"""A leader that is cut off together with few members must not keep VMs at work.
+
+While the store answers nobody, the pings of the members substitute for its confirmation. If a
+single ping suffices, a leader cut off from the store with one other member and some VMs takes that
+for an outage: it extends the VMs' leases for 30 s, while a leader elected on the other side
+presumes them over after 8.6 s and starts their tasks a second time. With 4 members and 6 VMs, of
+which the leader, a member and 3 VMs were cut off, 16 tasks ran twice at once, the first 7.7 s after
+the cut; with the other sizes below 15 to 17 tasks did.
 """
 
 import asyncio
@@ -24,10 +22,10 @@
 CUT_VMS = 3
 
 
-async def _cut_off(members: int, beside: int) -> tuple[System, str]:
-    """Cut the leader, some members beside it and some VMs off from all else while tasks run.
+async def _start_cut_off(members: int, accompanying: int) -> tuple[System, str]:
+    """Cut the leader, some members and some VMs off from the rest while tasks run.
 
-    Return the leader's name too.
+    Return the system and the leader's name.
     """
     system = System(5, members=members)
     system.cell.seconds = TASK_SECONDS
@@ -37,7 +35,7 @@
         await system.submit(f"a{number}", JobSpec("payload", (step,)))
     await asyncio.sleep(1.0)
     others = [name for name in system.names if name != leader]
-    inside = {leader, *others[:beside], *sorted(system.cell.vms)[:CUT_VMS]}
+    inside = {leader, *others[:accompanying], *sorted(system.cell.vms)[:CUT_VMS]}
     outside = {*system.names, *system.cell.vms} - inside
     system.wires.cuts |= {frozenset((one, other)) for one in inside for other in outside}
     system.store.turned_away |= inside & set(system.names)
@@ -46,15 +44,15 @@
 
 @pytest.mark.parametrize(("members", "beside"), [(4, 1), (5, 1), (5, 2), (7, 4)])
 def test_what_runs_beside_a_leader_that_is_cut_off_does_not_run_elsewhere(
-    members: int, beside: int
+    members: int, accompanying: int
 ) -> None:
     async def scenario() -> None:
-        system, former = await _cut_off(members, beside)
+        system, previous = await _start_cut_off(members, accompanying)
         await asyncio.sleep(35.0)
         leaders = {name for name, member in system.members.items() if member.leader is not None}
-        assert leaders - {former}
+        assert leaders - {previous}
         assert system.cell.violations == []
-        # A task that fails by chance, late, takes its time once more: 206 s have been seen.
+        # A task that fails by chance, late, runs once more: this has taken up to 206 s.
         await system.settle(6 * TASK_SECONDS)
         assert system.cell.violations == []
         assert await system.unfinished() == []
@@ -71,24 +69,24 @@
         await asyncio.sleep(8.0)
         leader = system.leader()
         assert leader is not None
-        served = system.members[leader].leader
-        assert served is not None and served.authority()
+        leadership = system.members[leader].leader
+        assert leadership is not None and leadership.authority()
         system.kill(next(name for name in system.names if name != leader), None)
         await asyncio.sleep(3.0)
-        assert served.authority()
+        assert leadership.authority()
 
     run(scenario())
 
 
 def test_a_leader_that_most_members_hear_denies_no_job_that_another_one_may_have_taken() -> None:
     async def scenario() -> None:
-        system, former = await _cut_off(5, 2)
+        system, previous = await _start_cut_off(5, 2)
         await asyncio.sleep(4.0)
-        leading = [n for n, m in system.members.items() if m.leader is not None and n != former]
+        leading = [n for n, m in system.members.items() if m.leader is not None and n != previous]
         assert (await system.hand_in(leading[0], "later")).outcome is Outcome.DONE
         for operation in (Operation.STATE, Operation.CANCEL):
             call = CallerCall(operation, HOST, PREFIX + "later")
-            reply = await system.members[former].serve(call, TIMEOUT)
+            reply = await system.members[previous].serve(call, TIMEOUT)
             assert reply.outcome is Outcome.NOT_TAKEN
 
     run(scenario())
--- a/tests/jobs/test_discovery.py
+++ b/tests/jobs/test_discovery.py
@@ -1,4 +1,4 @@
-"""A member that the store turns away learns from others who leads, and serves on."""
+"""A member that the store refuses learns from others who leads, and continues to serve."""
 
 import asyncio
 
@@ -11,13 +11,13 @@
 def test_members_without_the_store_follow_a_new_leader() -> None:
     async def scenario() -> None:
         system = System(70)
-        former = await begun(system)
-        away = next(name for name in system.names if name != former)
-        # The leader is replaced, as it alone is without the store; one more can't read by whom.
-        system.store.turned_away |= {former, away}
+        previous = await begun(system)
+        unserved = next(name for name in system.names if name != previous)
+        # The leader is replaced, as it is without the store; another member cannot read by whom.
+        system.store.turned_away |= {previous, unserved}
         await asyncio.sleep(3.5)
-        assert system.leader() not in (None, former, away)
-        for number, name in enumerate((former, away)):
+        assert system.leader() not in (None, previous, unserved)
+        for number, name in enumerate((previous, unserved)):
             reply = await system.hand_in(name, f"a{number}")
             assert reply.outcome is Outcome.DONE
 
--- a/tests/jobs/test_doubt.py
+++ b/tests/jobs/test_doubt.py
@@ -1,4 +1,4 @@
-"""A doubt about one leader costs no later one the lead, however many members doubt."""
+"""A suspicion of one leader must not replace a later one, however many members suspect it."""
 
 import asyncio
 
@@ -10,31 +10,31 @@
 from tests.jobs.running import begun
 
 MEMBERS = 40
-GONE = 4
-"""Members that fall silent with the leader, so that what is asked of them takes its time-out."""
+SILENT_MEMBERS = 4
+"""Members that fall silent, including the leader, so that calls to them time out."""
 
 
-class _Counted(System):
-    """Counts the calls in which members ask one another for their view."""
+class _ViewCountingSystem(System):
+    """Counts the calls in which members ask one another for their view of the leader."""
 
     views = 0
 
     def start(self, name: str) -> None:
         super().start(name)
-        place = self.wires.listening[name]
-        handler = place.handler
+        listener = self.wires.listening[name]
+        handler = listener.handler
 
-        async def counting(link, message):  # type: ignore[no-untyped-def]
+        async def count_views(link, message):  # type: ignore[no-untyped-def]
             self.views += isinstance(message, ViewCall)
             return await handler(link, message)
 
-        place.handler = counting
+        listener.handler = count_views
 
 
-async def _lose_leader(seed: int) -> _Counted:
-    system = _Counted(seed, members=MEMBERS, vms=2)
+async def _silence_leader(seed: int) -> _ViewCountingSystem:
+    system = _ViewCountingSystem(seed, members=MEMBERS, vms=2)
     leader = await begun(system)
-    for name in [leader, *(name for name in system.names if name != leader)][:GONE]:
+    for name in [leader, *(name for name in system.names if name != leader)][:SILENT_MEMBERS]:
         system.power_off(name, 5.0)
     await asyncio.sleep(2.5)
     return system
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_leader_that_falls_silent_is_replaced_by_one_claim(seed: int) -> None:
     async def scenario() -> None:
-        system = await _lose_leader(seed)
+        system = await _silence_leader(seed)
         assert system.leader() is not None
         assert system.store.claims == [1, 2]
 
@@ -52,7 +52,7 @@
 
 def test_members_that_doubt_ask_a_few_others_each() -> None:
     async def scenario() -> None:
-        system = await _lose_leader(1)
+        system = await _silence_leader(1)
         assert 0 < system.views <= 10 * MEMBERS
 
     run(scenario())
--- a/tests/jobs/test_election.py
+++ b/tests/jobs/test_election.py
@@ -1,4 +1,4 @@
-"""A claim that is sent again while its answer is lost wins only where the first would have won."""
+"""A claim repeated after a lost answer wins only where the first attempt would have won."""
 
 import asyncio
 import random
@@ -30,19 +30,20 @@
 from tests.emulator.store import EmulatedStore, StoreState
 from tests.jobs.stores import ArrangedStore
 
-MOST_LOOKS = 15
-"""Looks in 20 s at who leads while the store refuses them: the pauses grow to some seconds."""
-TOLD_BOUND = 1.5
-"""Seconds in which a member claims that is told of a leader which nobody hears."""
-SEEN_BOUND = 9.0
-"""Seconds in which a member claims once the store tells again where the topic ends: the longest
-pause, half as long again, and what it takes to claim."""
-VIEW_TAKES = 0.1
-"""Seconds that another member needs to tell its view."""
+MAX_POLLS = 15
+"""Polls of the leader topic in 20 s while the store refuses them: the pauses grow to some
+seconds."""
+INFORMED_CLAIM_LIMIT_S = 1.5
+"""Seconds within which a member claims after it was informed of a leader that nobody hears."""
+RECOVERED_CLAIM_LIMIT_S = 9.0
+"""Seconds within which a member claims once the store returns the end offset again: 1.5 times the
+longest pause, and the duration of a claim."""
+VIEW_DELAY_S = 0.1
+"""Seconds that another member takes to return its view."""
 
 
-class _LosesFirst(ArrangedStore):
-    """Carries out nothing of the first append, and does not answer it."""
+class _FirstAppendLost(ArrangedStore):
+    """Neither carries out nor answers the first append."""
 
     appends = 0
 
@@ -54,34 +55,34 @@
         return None
 
 
-class _RefusesLists(EmulatedStore):
-    """Refuses at once to tell who leads, while it takes appends."""
+class _ReadsRefused(EmulatedStore):
+    """Refuses reads of the leader topic at once, but accepts appends."""
 
-    refuses = True
-    lists = 0
+    refusing = True
+    polls = 0
 
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
-        if topic is not Topic.LEADER or not self.refuses:
+        if topic is not Topic.LEADER or not self.refusing:
             return await super().newest(topic, after, timeout, progress)
-        self.lists += 1
+        self.polls += 1
         return Unavailable("status 503", certain=True)
 
 
-async def _nothing(link: Link, message: Message) -> Reply:
+async def _decline_takeover(link: Link, message: Message) -> Reply:
     return TakeOverReply(False)
 
 
-async def _misses_the_leader(link: Link, message: Message) -> Reply:
-    await asyncio.sleep(VIEW_TAKES)
+async def _view_without_leader(link: Link, message: Message) -> Reply:
+    await asyncio.sleep(VIEW_DELAY_S)
     return LeaderView(1, 9.0, False)
 
 
 class _Candidate:
     def __init__(
         self,
-        kind: type[EmulatedStore] = _LosesFirst,
+        kind: type[EmulatedStore] = _FirstAppendLost,
         state: StoreState | None = None,
         name: str = "mine",
     ) -> None:
@@ -90,7 +91,7 @@
         self.won: list[int] = []
         settings = MemberSettings(name, name, JobSettings())
         self.wires = Wires()
-        self.link = LeaderLink(settings, self.wires.port(name), _nothing)
+        self.link = LeaderLink(settings, self.wires.port(name), _decline_takeover)
         self.election = Election(
             settings,
             self.store,
@@ -107,7 +108,7 @@
         self.link.follow(record)
 
     async def claim(self) -> None:
-        """Claim the first leadership, whose first answer does not come."""
+        """Claim the first leadership; the first answer is lost."""
         self.election.listed([], 0)
         await asyncio.sleep(0.5)
         await self.election.consider()
@@ -119,28 +120,29 @@
         self.election.listed([], 0)
         self.election.told([record], 1)
         self.link.addresses = {"third": "third"}
-        self.wires.port("third").listen("third", _misses_the_leader, lambda link: None)
+        self.wires.port("third").listen("third", _view_without_leader, lambda link: None)
 
-    async def consider_for(self, seconds: float) -> None:
-        """Look at whether a claim is due, again and again until this member has won one."""
+    async def claim_within(self, seconds: float) -> None:
+        """Check whether a claim is due until this member has won one or the time is over."""
         loop = asyncio.get_running_loop()
-        last = loop.time() + seconds
-        while loop.time() < last and not self.won:
+        deadline = loop.time() + seconds
+        while loop.time() < deadline and not self.won:
             await self.election.consider()
             await asyncio.sleep(WATCH_INTERVAL)
 
     async def unseen_claim(self) -> LeaderRecord:
-        """Let another member win the next leadership, and return it; this one is told nothing."""
-        rival = _Candidate(EmulatedStore, self.state, "rival")
+        """Let another member win the next leadership without informing this one; return its
+        record."""
+        other_candidate = _Candidate(EmulatedStore, self.state, "rival")
         page = self.state.topics[Topic.LEADER].page("", 1)
-        rival.election.listed(page.items, page.end)
+        other_candidate.election.listed(page.items, page.end)
         await asyncio.sleep(1.0)
-        await rival.election.consider()
-        assert rival.won == [2] and rival.link.record is not None
-        return rival.link.record
+        await other_candidate.election.consider()
+        assert other_candidate.won == [2] and other_candidate.link.record is not None
+        return other_candidate.link.record
 
     def other_claims(self) -> None:
-        """Let another member claim the same epoch, and this one hear of it."""
+        """Let another member claim the same epoch, and this one learn of it."""
         claim = LeaderRecord(1, "other", "other", "another life")
         record = Record(LEADER_KEY, msgspec.msgpack.encode(claim))
         self.state.topics[Topic.LEADER].add([record])
@@ -188,7 +190,7 @@
         loop = asyncio.get_running_loop()
         pong = Pong(1, True, 0.0)
         loop.call_later(
-            VIEW_TAKES / 2, lambda: candidate.link.suspicion.heard(pong, loop.time(), 0.5)
+            VIEW_DELAY_S / 2, lambda: candidate.link.suspicion.heard(pong, loop.time(), 0.5)
         )
         await candidate.election.consider()
         assert candidate.won == []
@@ -199,28 +201,28 @@
 
 @pytest.mark.parametrize("seconds", [5.0, 20.0])
 def test_a_claim_that_cannot_succeed_is_not_repeated(seconds: float) -> None:
-    """Another member has won what this one can't read."""
+    """Another member has won a leadership whose record this one cannot read."""
 
     async def scenario() -> None:
-        candidate = _Candidate(_RefusesLists)
+        candidate = _Candidate(_ReadsRefused)
         candidate.follow("other")
         await candidate.unseen_claim()
-        await candidate.consider_for(seconds)
+        await candidate.claim_within(seconds)
         assert candidate.state.conflicts == 1
-        assert isinstance(candidate.store, _RefusesLists)
-        assert 3 <= candidate.store.lists <= MOST_LOOKS
+        assert isinstance(candidate.store, _ReadsRefused)
+        assert 3 <= candidate.store.polls <= MAX_POLLS
 
     run(scenario())
 
 
 def test_a_member_that_is_told_of_a_later_leader_claims_after_it_unread() -> None:
     async def scenario() -> None:
-        candidate = _Candidate(_RefusesLists)
+        candidate = _Candidate(_ReadsRefused)
         candidate.follow("other")
         later = await candidate.unseen_claim()
-        await candidate.consider_for(20.0)
+        await candidate.claim_within(20.0)
         candidate.link.follow(later)
-        await candidate.consider_for(TOLD_BOUND)
+        await candidate.claim_within(INFORMED_CLAIM_LIMIT_S)
         assert candidate.won == [3]
         assert candidate.state.conflicts == 1
 
@@ -228,19 +230,19 @@
 
 
 def test_a_member_that_an_earlier_release_tells_claims_once_it_can_read() -> None:
-    """It is told of the later leader, but not where the topic ends after it."""
+    """An earlier release reports the later leader, but not the end offset after its record."""
 
     async def scenario() -> None:
-        candidate = _Candidate(_RefusesLists)
+        candidate = _Candidate(_ReadsRefused)
         candidate.follow("other")
         later = await candidate.unseen_claim()
         candidate.link.follow(msgspec.structs.replace(later, end=0))
-        await candidate.consider_for(20.0)
+        await candidate.claim_within(20.0)
         assert candidate.won == []
         assert candidate.state.conflicts == 1
-        assert isinstance(candidate.store, _RefusesLists)
-        candidate.store.refuses = False
-        await candidate.consider_for(SEEN_BOUND)
+        assert isinstance(candidate.store, _ReadsRefused)
+        candidate.store.refusing = False
+        await candidate.claim_within(RECOVERED_CLAIM_LIMIT_S)
         assert candidate.won == [3]
 
     run(scenario())
--- a/tests/jobs/test_load.py
+++ b/tests/jobs/test_load.py
@@ -1,4 +1,4 @@
-"""How far a load is, and what is told of it."""
+"""The progress of a load, and what is logged of it."""
 
 import asyncio
 import logging
@@ -16,12 +16,12 @@
 from tests.emulator.store import EmulatedStore, StoreState
 
 KEYS = 1_200
-"""They take three pages."""
-HALF = "k0900"
+"""They fill three pages."""
+UNREADABLE_KEY = "k0900"
 """A key on the second page."""
 
 
-def _filled() -> StoreState:
+def _store_with_pages() -> StoreState:
     state = StoreState(random.Random(1))
     keys = [Record(f"k{number:04d}", b"12345") for number in range(KEYS)]
     state.topics[Topic.JOBS].add(keys)
@@ -64,7 +64,7 @@
 
 def test_pages_read_before_and_after_the_claim_are_progress() -> None:
     async def scenario() -> None:
-        state = _filled()
+        state = _store_with_pages()
         state.latency = 0.1
         progress = LoadProgress()
         preload = Preload(LoadStore(EmulatedStore(state, "m"), progress))
@@ -84,8 +84,8 @@
 
 def test_a_load_tells_its_tries_and_its_length(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
-        state = _filled()
-        state.unread["m"] = HALF
+        state = _store_with_pages()
+        state.unread["m"] = UNREADABLE_KEY
         store = EmulatedStore(state, "m")
         figures = Figures()
         load = Load(7, store, LoadProgress(), figures)
@@ -95,9 +95,9 @@
 
     with caplog.at_level(logging.INFO, "sablemount.control.leader"):
         run(scenario())
-    told = {record.getMessage(): record.__dict__ for record in caplog.records}
-    assert list(told) == ["load started", "epoch set", "load failed", "loaded"]
-    assert told["load failed"]["why"] == "no answer"
-    assert 0 < told["load failed"]["bytes"] < KEYS * 10
-    assert (told["loaded"]["tries"], told["loaded"]["records"]) == (2, KEYS)
-    assert told["loaded"]["bytes"] == KEYS * 10
+    logged = {record.getMessage(): record.__dict__ for record in caplog.records}
+    assert list(logged) == ["load started", "epoch set", "load failed", "loaded"]
+    assert logged["load failed"]["why"] == "no answer"
+    assert 0 < logged["load failed"]["bytes"] < KEYS * 10
+    assert (logged["loaded"]["tries"], logged["loaded"]["records"]) == (2, KEYS)
+    assert logged["loaded"]["bytes"] == KEYS * 10
--- a/tests/jobs/test_majority.py
+++ b/tests/jobs/test_majority.py
@@ -1,4 +1,4 @@
-"""Who is counted as a member, and whether most of them hear a leader."""
+"""Which members are counted, and whether a majority of them hears a leader."""
 
 import asyncio
 from typing import cast
@@ -10,7 +10,7 @@
 
 
 class _NoLink:
-    """Stands for a member's link."""
+    """Substitute for a member's link."""
 
     peer = ""
 
--- a/tests/jobs/test_many_members.py
+++ b/tests/jobs/test_many_members.py
@@ -1,4 +1,5 @@
-"""A leader of hundreds of members has time left, and takes them all when it is new."""
+"""A leader of hundreds of members has time left, and accepts all their connections when it is
+new."""
 
 import asyncio
 import errno
@@ -17,11 +18,11 @@
 from tests.emulator.network import Wires
 
 MEMBERS = 300
-LOADING_PINGS = 2_000
-"""Pings a second that leave a new leader most of a processor core: each takes 0.09 ms of one."""
+MAX_PINGS_PER_S = 2_000
+"""Pings per second that leave a new leader most of a processor core: each takes 0.09 ms of one."""
 
 
-async def _refuse(link: Link, message: Message) -> Reply:
+async def _reject_call(link: Link, message: Message) -> Reply:
     raise AssertionError
 
 
@@ -38,29 +39,29 @@
 
         wires.port("leader").listen("leader", answer, lambda link: None)
         settings = MemberSettings("m", "m", JobSettings())
-        member = LeaderLink(settings, wires.port("m"), _refuse)
+        member = LeaderLink(settings, wires.port("m"), _reject_call)
         member.cell = cell
         member.follow(LeaderRecord(1, "leader", "leader", "life"))
-        serving = asyncio.get_running_loop().create_task(member.run())
+        link_task = asyncio.get_running_loop().create_task(member.run())
         await asyncio.sleep(0.9)
-        assert min(cell, MEMBERS) * pings / 0.9 < 1.1 * LOADING_PINGS
+        assert min(cell, MEMBERS) * pings / 0.9 < 1.1 * MAX_PINGS_PER_S
         assert pings >= 3
-        serving.cancel()
+        link_task.cancel()
 
     run(scenario())
 
 
 def test_all_members_of_a_large_cell_find_a_place_with_a_leader_that_is_busy() -> None:
     async def scenario() -> None:
-        taken, port = bind_unused_port()
-        taken.close()
-        server = TcpNetwork().listen(f"127.0.0.1:{port}", _refuse, lambda link: None)
-        # The loop does not run meanwhile, so that none is taken.
+        bound_socket, port = bind_unused_port()
+        bound_socket.close()
+        server = TcpNetwork().listen(f"127.0.0.1:{port}", _reject_call, lambda link: None)
+        # The event loop does not run meanwhile, so that no connection is accepted.
         links = [socket.socket() for _ in range(MEMBERS)]
         for link in links:
             link.setblocking(False)
             assert link.connect_ex(("127.0.0.1", port)) in (0, errno.EINPROGRESS)
-        assert [link for link in links if not _stands(link)] == []
+        assert [link for link in links if not _is_connected(link)] == []
         for link in links:
             link.close()
         server.close_all()
@@ -68,7 +69,7 @@
     asyncio.run(scenario())
 
 
-def _stands(link: socket.socket) -> bool:
+def _is_connected(link: socket.socket) -> bool:
     try:
         link.getpeername()
     except OSError:
--- a/tests/jobs/test_narrow_cell.py
+++ b/tests/jobs/test_narrow_cell.py
@@ -1,4 +1,5 @@
-"""A cell whose members reach the store over narrow links goes on while the configuration grows."""
+"""A cell whose members reach the store over narrow links keeps working while the configuration
+grows."""
 
 import asyncio
 
@@ -9,45 +10,47 @@
 from tests.emulator.system import System
 from tests.jobs.running import begun
 
-LINK = 625_000
-"""Bytes a second."""
-IDLE = 5_500
+LINK_BYTES_PER_S = 625_000
+"""Capacity of each member's link."""
+IDLE_QUEUES = 5_500
 """Queues that make a configuration take such a link more than a second."""
-ALL_READ = 4.0
-"""Seconds after which each member has read it."""
+READ_LIMIT_S = 4.0
+"""Seconds within which each member has read it."""
 
 
-def _narrow(seed: int) -> System:
+def _system_with_narrow_links(seed: int) -> System:
     system = System(seed, members=5)
-    system.links = {name: NarrowLink(LINK) for name in system.names}
+    system.links = {name: NarrowLink(LINK_BYTES_PER_S) for name in system.names}
     return system
 
 
-def _size(system: System) -> int:
+def _configuration_bytes(system: System) -> int:
     return len(system.store.topics[Topic.CONFIGURATION].newest["config"].record.value)
 
 
 def test_each_version_that_grows_is_known_to_all_and_read_once() -> None:
     async def scenario() -> None:
-        system = _narrow(1)
+        system = _system_with_narrow_links(1)
         await begun(system)
         for version in (2, 3, 4):
             before = {name: link.carried for name, link in system.links.items()}
-            system.configure(version, idle=IDLE)
-            assert _size(system) > LINK
-            await asyncio.sleep(ALL_READ)
+            system.configure(version, idle=IDLE_QUEUES)
+            assert _configuration_bytes(system) > LINK_BYTES_PER_S
+            await asyncio.sleep(READ_LIMIT_S)
             for name, member in system.members.items():
                 assert member.feed.version == version
-                assert system.links[name].carried - before[name] < 1.5 * _size(system)
+                assert system.links[name].carried - before[name] < 1.5 * _configuration_bytes(
+                    system
+                )
 
     run(scenario())
 
 
 def test_a_member_takes_over_beside_a_configuration_that_is_long() -> None:
     async def scenario() -> None:
-        system = _narrow(2)
+        system = _system_with_narrow_links(2)
         leader = await begun(system)
-        system.configure(2, idle=IDLE)
+        system.configure(2, idle=IDLE_QUEUES)
         await asyncio.sleep(20.0)
         system.kill(leader, back_after=None)
         await asyncio.sleep(4.0)
@@ -61,13 +64,13 @@
 
 def test_a_member_that_starts_reads_the_long_configuration() -> None:
     async def scenario() -> None:
-        system = _narrow(3)
+        system = _system_with_narrow_links(3)
         leader = await begun(system)
-        system.configure(2, idle=IDLE)
-        await asyncio.sleep(ALL_READ)
+        system.configure(2, idle=IDLE_QUEUES)
+        await asyncio.sleep(READ_LIMIT_S)
         other = next(name for name in system.names if name != leader)
         system.kill(other, back_after=0.5)
-        await asyncio.sleep(ALL_READ)
+        await asyncio.sleep(READ_LIMIT_S)
         assert system.members[other].feed.version == 2
 
     run(scenario())
