--- a/tests/jobs/test_cut_off_leader.py
+++ b/tests/jobs/test_cut_off_leader.py
@@ -22,7 +22,7 @@
 CUT_VMS = 3
 
 
-async def _start_cut_off(members: int, accompanying: int) -> tuple[System, str]:
+async def _start_cut_off(members: int, beside: int) -> tuple[System, str]:
     """Cut the leader, some members and some VMs off from the rest while tasks run.
 
     Return the system and the leader's name.
@@ -35,7 +35,7 @@
         await system.submit(f"a{number}", JobSpec("payload", (step,)))
     await asyncio.sleep(1.0)
     others = [name for name in system.names if name != leader]
-    inside = {leader, *others[:accompanying], *sorted(system.cell.vms)[:CUT_VMS]}
+    inside = {leader, *others[:beside], *sorted(system.cell.vms)[:CUT_VMS]}
     outside = {*system.names, *system.cell.vms} - inside
     system.wires.cuts |= {frozenset((one, other)) for one in inside for other in outside}
     system.store.turned_away |= inside & set(system.names)
@@ -44,10 +44,10 @@
 
 @pytest.mark.parametrize(("members", "beside"), [(4, 1), (5, 1), (5, 2), (7, 4)])
 def test_what_runs_beside_a_leader_that_is_cut_off_does_not_run_elsewhere(
-    members: int, accompanying: int
+    members: int, beside: int
 ) -> None:
     async def scenario() -> None:
-        system, previous = await _start_cut_off(members, accompanying)
+        system, previous = await _start_cut_off(members, beside)
         await asyncio.sleep(35.0)
         leaders = {name for name, member in system.members.items() if member.leader is not None}
         assert leaders - {previous}
--- a/tests/jobs/test_late_word.py
+++ b/tests/jobs/test_late_word.py
@@ -1,8 +1,8 @@
-"""A word of the store that came late gave a leader more time than its successor waits for.
+"""A late confirmation by the store must not give a leader more time than its successor waits for.
 
-An answer tells who led when the store carried the call out, which may have been as soon as it was
-sent. It was taken as told when it came, up to 2 s later, and orders went on for 1.5 s from then: a
-former leader could extend leases for 3.5 s after another one had begun, which waits for 2.5 s.
+An answer shows who led when the store carried the call out, possibly as soon as it was sent. If it
+counts from its arrival, up to 2 s later, requests go on for 1.5 s from then: a previous leader
+could extend leases for 3.5 s after the start of the next one, which waits for 2.5 s.
 """
 
 import asyncio
@@ -17,13 +17,13 @@
 from tests.emulator.loop import run
 from tests.emulator.store import EmulatedStore, StoreState
 
-ANSWER_AFTER = 1.9
+ANSWER_DELAY_S = 1.9
 
 
 class _LateAnswers(EmulatedStore):
     """Carries appends out at once, and answers after some seconds."""
 
-    wait = 0.0
+    answer_delay = 0.0
 
     async def append(
         self,
@@ -34,7 +34,7 @@
         at: int | None = None,
     ) -> AppendResult:
         result = await super().append(topic, records, timeout, producer, at)
-        await asyncio.sleep(self.wait)
+        await asyncio.sleep(self.answer_delay)
         return result
 
 
@@ -42,16 +42,16 @@
     async def scenario() -> None:
         state = StoreState(random.Random(1))
         store = _LateAnswers(state, "m")
-        former = Committer(store, 1, random.Random(2))
-        await former.open()
-        store.wait = ANSWER_AFTER
-        confirming = asyncio.create_task(former.confirm())
+        previous = Committer(store, 1, random.Random(2))
+        await previous.open()
+        store.answer_delay = ANSWER_DELAY_S
+        confirming = asyncio.create_task(previous.confirm())
         await asyncio.sleep(0.01)
         await Committer(EmulatedStore(state, "later"), 2, random.Random(3)).open()
         began = monotonic()
         await confirming
-        orders_end = former.confirmed_at + AUTHORITY_TIME
-        assert orders_end <= began + JobSettings().takeover_margin
+        requests_end = previous.confirmed_at + AUTHORITY_TIME
+        assert requests_end <= began + JobSettings().takeover_margin
 
     run(scenario())
 
--- a/tests/jobs/test_parted_leader.py
+++ b/tests/jobs/test_parted_leader.py
@@ -1,11 +1,10 @@
-"""A leader that is cut off with part of the system does not outlast the wait of its successor.
+"""A leader that is cut off with part of the system must not outlast its successor's wait.
 
-A leader and another member are cut off from the store and from the rest, but not from one VM. They
-hear each other, so that the leader goes on and holds that VM's lease. The successor can't reach the
-VM and starts what ran there elsewhere once every lease must be over.
+A leader and another member are cut off from the store and from the other members, but not from one
+VM. They hear each other, so that the leader goes on and extends that VM's lease. The successor
+cannot reach the VM and starts its tasks elsewhere once every lease must have ended.
 
-Nor may the leader that was left behind say that a job is not known: its successor may have accepted
-it.
+Nor may the isolated leader answer that a job is unknown: its successor may have accepted it.
 """
 
 import asyncio
@@ -23,33 +22,36 @@
 VMS = 4
 
 
-class _Parted(System):
+class _PartitionedSystem(System):
     def __init__(self, seed: int) -> None:
         super().__init__(seed, members=MEMBERS, vms=VMS)
-        self.unreached: dict[str, set[str]] = {}
+        self.unreachable_vms: dict[str, set[str]] = {}
 
     def start(self, name: str) -> None:
         super().start(name)
-        self.members[name].ports.vms = EmulatedVms(self.cell, partial(self._unreached, name))
+        self.members[name].ports.vms = EmulatedVms(self.cell, partial(self._is_unreachable, name))
 
-    def _unreached(self, member: str, vm: str) -> bool:
-        return vm in self.unreached.get(member, set())
+    def _is_unreachable(self, member: str, vm: str) -> bool:
+        return vm in self.unreachable_vms.get(member, set())
 
-    def part(self, apart: set[str], vm: str) -> None:
-        """Cut some members off from the store and the others; they alone reach one VM."""
-        self.store.turned_away |= apart
+    def partition(self, isolated: set[str], vm: str) -> None:
+        """Cut some members off from the store and the others; only they reach one VM."""
+        self.store.turned_away |= isolated
         for name in self.names:
-            if name in apart:
-                self.unreached[name] = set(self.cell.vms) - {vm}
-                others = set(self.names) - apart
+            if name in isolated:
+                self.unreachable_vms[name] = set(self.cell.vms) - {vm}
+                others = set(self.names) - isolated
                 self.wires.cuts |= {frozenset((name, other)) for other in others}
             else:
-                self.unreached[name] = {vm}
+                self.unreachable_vms[name] = {vm}
 
 
-async def _parted(with_member: bool) -> tuple[_Parted, str, str]:
-    """Cut the leader off while a job of four long tasks runs; return who is on either side."""
-    system = _Parted(5)
+async def _start_partitioned(with_member: bool) -> tuple[_PartitionedSystem, str, str]:
+    """Cut the leader off while a job of four long tasks runs.
+
+    Return the system, a member that is cut off and one that is not.
+    """
+    system = _PartitionedSystem(5)
     system.cell.seconds = 60.0
     system.cell.fail_share = 0.0
     system.start_all()
@@ -60,15 +62,15 @@
     leader = system.leader()
     assert leader is not None
     busy = next(vm for vm in system.cell.vms.values() if vm.runs)
-    other, *rest = [name for name in system.names if name != leader]
-    system.part({leader, other} if with_member else {leader}, busy.info.name)
-    return system, other if with_member else leader, rest[0]
+    other, *ahead_members = [name for name in system.names if name != leader]
+    system.partition({leader, other} if with_member else {leader}, busy.info.name)
+    return system, other if with_member else leader, ahead_members[0]
 
 
 @pytest.mark.parametrize("with_member", [False, True])
 def test_nothing_runs_twice_on_both_sides_of_a_cut(with_member: bool) -> None:
     async def scenario() -> None:
-        system, _, _ = await _parted(with_member)
+        system, _, _ = await _start_partitioned(with_member)
         await asyncio.sleep(20.0)
         assert system.store.claims[-1] > 1
         assert system.cell.violations == []
@@ -79,7 +81,7 @@
 @pytest.mark.parametrize("with_member", [False, True])
 def test_a_leader_left_behind_denies_no_job_of_its_successor(with_member: bool) -> None:
     async def scenario() -> None:
-        system, behind, ahead = await _parted(with_member)
+        system, behind, ahead = await _start_partitioned(with_member)
         await asyncio.sleep(4.0)
         submitted = await system.hand_in(ahead, "later")
         assert submitted.outcome is Outcome.DONE
--- a/tests/jobs/test_preload.py
+++ b/tests/jobs/test_preload.py
@@ -1,4 +1,4 @@
-"""What lasts is the same whether its pages were read before or after the epoch was set."""
+"""The loaded state is the same whether its pages were read before or after the epoch was set."""
 
 import asyncio
 import random
@@ -12,14 +12,14 @@
 from tests.emulator.loop import run
 from tests.emulator.store import EmulatedStore, StoreState
 
-PAGES = 1_200
-"""Keys, which take three pages."""
+KEYS = 1_200
+"""They fill three pages."""
 
 
-def _filled() -> StoreState:
+def _store_with_pages() -> StoreState:
     state = StoreState(random.Random(1))
     topic = state.topics[Topic.JOBS]
-    topic.add([Record(f"k{number:04d}", b"first") for number in range(PAGES)])
+    topic.add([Record(f"k{number:04d}", b"first") for number in range(KEYS)])
     return state
 
 
@@ -31,12 +31,12 @@
 @pytest.mark.parametrize("forgotten", [False, True])
 def test_what_changes_after_the_first_page_is_there(forgotten: bool) -> None:
     async def scenario() -> None:
-        state = _filled()
+        state = _store_with_pages()
         store = EmulatedStore(state, "m")
         state.latency = 0.1
         preload = Preload(store)
         preload.begin()
-        # The first page is read by then; it has the first two of these keys.
+        # The first page has been read by then; it contains the first two of these keys.
         await asyncio.sleep(0.15)
         topic = state.topics[Topic.JOBS]
         topic.add([Record("k0001", b"second"), Record("k0002"), Record("new", b"first")])
@@ -53,7 +53,7 @@
 
 def test_without_a_known_end_all_is_read_anew() -> None:
     async def scenario() -> None:
-        state = _filled()
+        state = _store_with_pages()
         store = EmulatedStore(state, "m")
         preload = Preload(store)
         await preload.begin()
@@ -67,7 +67,7 @@
 def test_many_pages_of_a_slow_store_are_all_read() -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        keys = [Record(f"k{number:05d}", b"first") for number in range(12 * PAGES)]
+        keys = [Record(f"k{number:05d}", b"first") for number in range(12 * KEYS)]
         state.topics[Topic.JOBS].add(keys)
         state.latency = 0.4
         loaded = await load_records(EmulatedStore(state, "m"), None, None)
@@ -76,16 +76,16 @@
     run(scenario())
 
 
-class _Forgetful(EmulatedStore):
-    """Leaves half of the reads without an answer."""
+class _AnswersEverySecondRead(EmulatedStore):
+    """Leaves every other read without an answer."""
 
-    asked = 0
+    reads = 0
 
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
-        self.asked += 1
-        if self.asked % 2:
+        self.reads += 1
+        if self.reads % 2:
             await asyncio.sleep(timeout)
             return Unavailable("no answer")
         return await super().newest(topic, after, timeout)
@@ -93,18 +93,18 @@
 
 def test_a_page_without_an_answer_costs_no_other_page() -> None:
     async def scenario() -> None:
-        state = _filled()
-        store = _Forgetful(state, "m")
+        state = _store_with_pages()
+        store = _AnswersEverySecondRead(state, "m")
         loaded = await load_records(store, None, None)
-        assert len(_values(loaded)) == PAGES
-        assert store.asked == 6
+        assert len(_values(loaded)) == KEYS
+        assert store.reads == 6
 
     run(scenario())
 
 
 def test_what_took_long_to_read_is_not_read_anew_for_the_claim() -> None:
     async def scenario() -> None:
-        state = _filled()
+        state = _store_with_pages()
         state.latency = 1.2
         store = EmulatedStore(state, "m")
         preload = Preload(store)
@@ -118,7 +118,7 @@
 
 def test_what_has_aged_is_read_anew() -> None:
     async def scenario() -> None:
-        preload = Preload(EmulatedStore(_filled(), "m"))
+        preload = Preload(EmulatedStore(_store_with_pages(), "m"))
         reading = preload.begin()
         await reading
         await asyncio.sleep(FRESH)
--- a/tests/jobs/test_roster.py
+++ b/tests/jobs/test_roster.py
@@ -1,4 +1,4 @@
-"""The addresses of all members go only to those that miss a change, and all get them."""
+"""The addresses of all members are sent only to members that lack a change, and all get them."""
 
 import asyncio
 
@@ -13,20 +13,20 @@
 MEMBERS = 40
 
 
-async def _pongs(system: System, seconds: float) -> list[Pong]:
-    """Return the answers to all members' pings in some seconds."""
+async def _collect_pongs(system: System, seconds: float) -> list[Pong]:
+    """Return the answers to all members' pings within some seconds."""
     pongs: list[Pong] = []
-    for name, place in system.wires.listening.items():
-        handler = place.handler
+    for name, listener in system.wires.listening.items():
+        handler = listener.handler
 
-        async def noting(link, message, handler=handler):  # type: ignore[no-untyped-def]
+        async def record_pong(link, message, handler=handler):  # type: ignore[no-untyped-def]
             reply = await handler(link, message)
             if isinstance(message, Ping):
                 pongs.append(reply)
             return reply
 
-        for link in place.links:
-            link._handler = noting
+        for link in listener.links:
+            link._handler = record_pong
         assert name
     await asyncio.sleep(seconds)
     return pongs
@@ -37,7 +37,7 @@
         system = System(1, members=MEMBERS, vms=2)
         system.start_all()
         await asyncio.sleep(3.0)
-        pongs = await _pongs(system, 1.0)
+        pongs = await _collect_pongs(system, 1.0)
         assert len(pongs) > 3 * MEMBERS
         assert max(len(msgspec.msgpack.encode(pong)) for pong in pongs) < 100
 
@@ -53,10 +53,10 @@
         system.start("late")
         await asyncio.sleep(2.0)
         for name, member in system.members.items():
-            leads = member.leader is not None
+            is_leader = member.leader is not None
             others = set(system.names) - {name, system.leader()}
             known = set(member._link.addresses)
-            assert others <= known, (name, leads, others - known)
+            assert others <= known, (name, is_leader, others - known)
 
     run(scenario())
 
@@ -64,9 +64,9 @@
 def test_members_of_a_new_leader_know_one_another() -> None:
     async def scenario() -> None:
         system = System(3, members=MEMBERS, vms=2)
-        former = await begun(system, 3.0)
-        system.kill(former, None)
-        system.names.remove(former)
+        previous = await begun(system, 3.0)
+        system.kill(previous, None)
+        system.names.remove(previous)
         await asyncio.sleep(2.0)
         system.names.append("late")
         system.start("late")
@@ -85,18 +85,18 @@
         addresses = {f"machine-of-zone-{number}": "10.0.0.1:8240" for number in range(members)}
         size = len(msgspec.msgpack.encode(addresses))
         roster = Roster(addresses, link)
-        behind = set(range(members))
+        missing = set(range(members))
         sent = 0
         began = asyncio.get_running_loop().time()
-        while behind and asyncio.get_running_loop().time() < began + 60.0:
-            for number in sorted(behind):
+        while missing and asyncio.get_running_loop().time() < began + 60.0:
+            for number in sorted(missing):
                 if roster.since(0) is not None:
-                    behind.discard(number)
+                    missing.discard(number)
                     sent += size
-            passed = asyncio.get_running_loop().time() - began
-            assert sent <= size + 0.25 * link * passed
+            elapsed = asyncio.get_running_loop().time() - began
+            assert sent <= size + 0.25 * link * elapsed
             await asyncio.sleep(0.05)
-        assert not behind
+        assert not missing
 
     run(scenario())
 
@@ -114,18 +114,18 @@
         names = {f"edge-north-{number}": f"10.1.{number}.13:7720" for number in range(300)}
         link = 625_000
         roster = Roster(names, link)
-        had = dict.fromkeys(names, 0)
+        versions = dict.fromkeys(names, 0)
         for second in range(40):
             sent = 0
             for _ in range(20):
                 for name, address in names.items():
                     roster.note(name, address)
-                    addresses = roster.since(had[name])
+                    addresses = roster.since(versions[name])
                     if addresses is not None:
-                        had[name] = roster.version
+                        versions[name] = roster.version
                         sent += len(msgspec.msgpack.encode(addresses))
                 await asyncio.sleep(0.05)
             assert sent < link * (0.7 if second == 0 else 0.4)
-        assert set(had.values()) == {roster.version}
+        assert set(versions.values()) == {roster.version}
 
     run(scenario())
--- a/tests/jobs/test_silent_links.py
+++ b/tests/jobs/test_silent_links.py
@@ -1,4 +1,5 @@
-"""Open connections that fall silent without a reset cost no leader and no request."""
+"""Open connections that fall silent without a reset cause no change of leader and no lost
+request."""
 
 import asyncio
 
--- a/tests/jobs/test_standing.py
+++ b/tests/jobs/test_standing.py
@@ -1,8 +1,8 @@
-"""Which machine leads where they are uneven.
+"""Which member leads where machines differ in size.
 
-Machines with a link of 10 Mbit/s led in turn beside others with 200: four changes of leader in 14 s
-were put down to "the leader does not answer", with silences of 0.65 to 0.79 s, while none of those
-leaders had gone, and 291 calls were refused meanwhile.
+Members on machines with a link of 10 Mbit/s led in turn beside others with 200: of four changes of
+leader in 14 s each had the reason "the leader does not answer", after silences of 0.65 to 0.79 s,
+although no leader had failed, and 291 calls were refused meanwhile.
 """
 
 import asyncio
@@ -17,8 +17,8 @@
 LARGE = MachineLimits(2.15, 200.0, 8192, 552.0)
 SMALL = MachineLimits(1.29, 10.0, 10250, 440.0)
 SMALLEST = MachineLimits(0.387, 10.0, 3075, 160.0)
-CALLERS_WAIT = 3.0
-"""Seconds after which callers give up."""
+CALLER_TIMEOUT_S = 3.0
+"""Seconds after which callers time out."""
 
 
 def _system(seed: int, *large: str, members: int = 5) -> System:
@@ -46,7 +46,7 @@
 def test_the_smaller_a_machine_the_longer_it_leaves_a_claim_to_others() -> None:
     small = claim_delay(standing(SMALL), FULL)
     smallest = claim_delay(standing(SMALLEST), FULL)
-    assert 0 < small < smallest < CALLERS_WAIT / 4
+    assert 0 < small < smallest < CALLER_TIMEOUT_S / 4
 
 
 def test_a_large_machine_leads_from_the_start_and_after_another() -> None:
@@ -67,7 +67,7 @@
         system = _system(30, "m1")
         assert await begun(system) == "m1"
         system.power_off("m1", 60.0)
-        await asyncio.sleep(CALLERS_WAIT / 2)
+        await asyncio.sleep(CALLER_TIMEOUT_S / 2)
         assert system.leader() is not None
 
     run(scenario())
--- a/tests/jobs/test_store_lost.py
+++ b/tests/jobs/test_store_lost.py
@@ -1,4 +1,4 @@
-"""A leader that the store turns away, with some members, is replaced soon for all of them."""
+"""A leader that the store refuses, with some members, is replaced soon for all of them."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,25 +11,26 @@
 from tests.jobs.running import begun
 
 MEMBERS = 12
-TURNED_AWAY = 5
+REFUSED_MEMBERS = 5
 
 
-async def _turn_away(seed: int) -> tuple[System, str]:
-    """Turn away the leader and some members; return the system and the leader's name."""
+async def _refuse_leader(seed: int) -> tuple[System, str]:
+    """Have the store refuse the leader and some members; return the system and the leader's
+    name."""
     system = System(seed, members=MEMBERS)
     leader = await begun(system)
     others = [name for name in system.names if name != leader]
-    system.store.turned_away.update([leader, *others[: TURNED_AWAY - 1]])
+    system.store.turned_away.update([leader, *others[: REFUSED_MEMBERS - 1]])
     return system, leader
 
 
-def _successor_leads(system: System, former: str) -> bool:
-    members = [member for name, member in system.members.items() if name != former]
+def _successor_leads(system: System, previous: str) -> bool:
+    members = [member for name, member in system.members.items() if name != previous]
     return any(member.leader is not None and member.leader.leading for member in members)
 
 
-async def _pressed(system: System, leader: str) -> None:
-    """Keep jobs coming, so that the leader has something to append."""
+async def _submit_continuously(system: System, leader: str) -> None:
+    """Submit jobs continuously, so that the leader has records to append."""
     for number in range(40):
         asyncio.create_task(system.hand_in(leader, f"b{number:04x}"))
         await asyncio.sleep(0.04)
@@ -38,14 +39,14 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_successor_leads_within_half_a_second(seed: int) -> None:
     async def scenario() -> None:
-        system, former = await _turn_away(seed)
+        system, previous = await _refuse_leader(seed)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        pressing = asyncio.create_task(_pressed(system, former))
-        while not _successor_leads(system, former) and loop.time() - began < 3.0:
+        submit_task = asyncio.create_task(_submit_continuously(system, previous))
+        while not _successor_leads(system, previous) and loop.time() - began < 3.0:
             await asyncio.sleep(0.005)
         assert loop.time() - began < 0.5
-        await pressing
+        await submit_task
 
     run(scenario())
 
@@ -53,9 +54,9 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_members_that_do_not_reach_the_store_serve_again_as_soon_as_the_others(seed: int) -> None:
     async def scenario() -> None:
-        system, former = await _turn_away(seed)
-        pressing = asyncio.create_task(_pressed(system, former))
-        while not _successor_leads(system, former):
+        system, previous = await _refuse_leader(seed)
+        submit_task = asyncio.create_task(_submit_continuously(system, previous))
+        while not _successor_leads(system, previous):
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.3)
         calls = [
@@ -66,24 +67,24 @@
         replies = await asyncio.gather(*calls)
         assert {reply.outcome for reply in replies} == {Outcome.DONE}
         assert asyncio.get_running_loop().time() - began < 0.1
-        await pressing
+        await submit_task
 
     run(scenario())
 
 
-async def _replaced_within(seed: int, lose: Callable[[System, str], None]) -> float:
-    """Lose the leader; return after how many seconds another one leads, which is the only one."""
+async def _time_to_replace(seed: int, fail_leader: Callable[[System, str], None]) -> float:
+    """Fail the leader; return the seconds until another one leads, which is the only one."""
     system = System(seed, members=MEMBERS)
-    former = await begun(system)
+    previous = await begun(system)
     loop = asyncio.get_running_loop()
     began = loop.time()
-    lose(system, former)
-    while not _successor_leads(system, former) and loop.time() - began < 3.0:
+    fail_leader(system, previous)
+    while not _successor_leads(system, previous) and loop.time() - began < 3.0:
         await asyncio.sleep(0.005)
-    took = loop.time() - began
+    duration = loop.time() - began
     await asyncio.sleep(2.0)
     assert system.store.claims == [1, 2]
-    return took
+    return duration
 
 
 def _cut_off(system: System, leader: str) -> None:
@@ -97,32 +98,32 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_leader_that_is_cut_off_is_replaced_soon(seed: int) -> None:
-    assert run(_replaced_within(seed, _cut_off)) < 0.6
+    assert run(_time_to_replace(seed, _cut_off)) < 0.6
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_leader_that_is_killed_is_replaced_at_once(seed: int) -> None:
-    assert run(_replaced_within(seed, _kill)) < 0.2
+    assert run(_time_to_replace(seed, _kill)) < 0.2
 
 
 def test_members_that_come_by_themselves_are_not_called() -> None:
     async def scenario() -> None:
         system = System(1, members=MEMBERS)
-        former = await begun(system)
-        told: list[str] = []
-        for name, place in system.wires.listening.items():
-            handler = place.handler
+        previous = await begun(system)
+        announced_to: list[str] = []
+        for name, listener in system.wires.listening.items():
+            handler = listener.handler
 
-            async def noting(link, message, name=name, handler=handler):  # type: ignore[no-untyped-def]
+            async def record_announcement(link, message, name=name, handler=handler):  # type: ignore[no-untyped-def]
                 if isinstance(message, Announce):
-                    told.append(name)
+                    announced_to.append(name)
                 return await handler(link, message)
 
-            place.handler = noting
-        # A load takes longer than a member needs to come.
+            listener.handler = record_announcement
+        # A load takes longer than a member needs to connect.
         system.store.latency = 0.05
-        system.kill(former, None)
+        system.kill(previous, None)
         await asyncio.sleep(2.0)
-        assert told == []
+        assert announced_to == []
 
     run(scenario())
--- a/tests/jobs/test_store_outage.py
+++ b/tests/jobs/test_store_outage.py
@@ -1,4 +1,4 @@
-"""A healthy leader leads on through an outage of the store for all, and through its end."""
+"""A healthy leader keeps leading through an outage of the store for all, and through its end."""
 
 import asyncio
 
@@ -9,11 +9,11 @@
 from tests.emulator.system import System
 from tests.jobs.running import begun
 
-OUTAGE = 4.2
-PHASE = 0.05
+OUTAGE_S = 4.2
+PHASE_STEP_S = 0.05
 
 
-def _record(system: System) -> LeaderRecord:
+def _common_leader_record(system: System) -> LeaderRecord:
     records = {member._link.record for member in system.members.values()}
     (record,) = records
     assert record is not None
@@ -26,13 +26,13 @@
         system = System(40 + number)
         system.start_all()
         await asyncio.sleep(2.0)
-        before = _record(system)
+        leader_before = _common_leader_record(system)
         system.store.down = True
-        # The members' trials of the store end at other moments each time.
-        await asyncio.sleep(OUTAGE + PHASE * number)
+        # The members' probes of the store end at different moments in each run.
+        await asyncio.sleep(OUTAGE_S + PHASE_STEP_S * number)
         system.store.down = False
         await asyncio.sleep(2.0)
-        assert _record(system) == before
+        assert _common_leader_record(system) == leader_before
 
     run(scenario())
 
@@ -53,9 +53,9 @@
         system = System(61)
         system.start_all()
         await asyncio.sleep(2.0)
-        before = _record(system)
+        leader_before = _common_leader_record(system)
         system.store.latency = system.store.append_time = 0.3
         await asyncio.sleep(6.0)
-        assert _record(system) == before
+        assert _common_leader_record(system) == leader_before
 
     run(scenario())
--- a/tests/jobs/test_take_over.py
+++ b/tests/jobs/test_take_over.py
@@ -9,31 +9,31 @@
 from tests.emulator.system import System
 from tests.jobs.running import begun
 
-SLOW = 0.45
-"""Seconds that the store takes for an answer: a load takes more than one second."""
-VERY_SLOW = 1.1
-"""Seconds after which a claim is made again while its first answer is on the way."""
-LIMIT = 10.0
+SLOW_LATENCY_S = 0.45
+"""Latency of the store with which a load takes more than one second."""
+VERY_SLOW_LATENCY_S = 1.1
+"""Latency with which a claim is repeated while its first answer is on the way."""
+LEADER_TIMEOUT_S = 10.0
 
 
-async def _next_leader(system: System) -> str:
-    last = asyncio.get_running_loop().time() + LIMIT
-    while asyncio.get_running_loop().time() < last:
+async def _wait_for_leader(system: System) -> str:
+    deadline = asyncio.get_running_loop().time() + LEADER_TIMEOUT_S
+    while asyncio.get_running_loop().time() < deadline:
         leader = system.leader()
         if leader is not None:
             return leader
         await asyncio.sleep(0.01)
-    raise AssertionError("nobody leads")
+    raise AssertionError("no leader within the time-out")
 
 
 def test_a_leader_that_took_long_to_load_serves_at_once() -> None:
     async def scenario() -> None:
         system = System(31, vms=4)
         first = await begun(system)
-        system.store.latency = SLOW
+        system.store.latency = SLOW_LATENCY_S
         system.kill(first, None)
         await asyncio.sleep(0.01)
-        second = await _next_leader(system)
+        second = await _wait_for_leader(system)
         reply = await system.hand_in(second, "a1")
         assert reply.outcome is Outcome.DONE
 
@@ -42,16 +42,17 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_who_has_claimed_leads_before_the_answer_to_the_claim_comes(seed: int) -> None:
-    """All others read of the claim meanwhile, and replaced it: it did not lead."""
+    """The other members read the claim in the meantime, and replaced its author, as it did not
+    lead."""
 
     async def scenario() -> None:
         system = System(seed, members=12)
         first = await begun(system)
-        system.store.latency = VERY_SLOW
+        system.store.latency = VERY_SLOW_LATENCY_S
         system.kill(first, None)
         await asyncio.sleep(0.01)
-        await _next_leader(system)
-        await asyncio.sleep(LIMIT)
+        await _wait_for_leader(system)
+        await asyncio.sleep(LEADER_TIMEOUT_S)
         assert system.store.claims == [1, 2]
 
     run(scenario())
