--- a/src/sablemount/control/election.py
+++ b/src/sablemount/control/election.py
@@ -123,7 +123,7 @@
         store: Store,
         link: LeaderLink,
         rng: random.Random,
-        figures: Figures,
+        metrics: Figures,
         on_leader: Callable[[LeaderRecord], None],
         on_won: Callable[[int], None],
         start_preload: "Callable[[], asyncio.Task[Reading | None]]",
@@ -133,7 +133,7 @@
         self._store = store
         self._link = link
         self._rng = rng
-        self._figures = figures
+        self._metrics = metrics
         self._on_leader = on_leader
         self._on_won = on_won
         self._start_preload = start_preload
@@ -211,7 +211,7 @@
             self._paused_until = monotonic() + CLAIM_PAUSE_S
             return
         if self._is_stale(grounds):
-            self._figures.count("doubt dropped", reason)
+            self._metrics.count("doubt dropped", reason)
             return
         self._takeover_epoch = None
         await self._claim(grounds)
@@ -359,7 +359,7 @@
             lambda: self._append(record, at.end), CLAIM_RETRY_INTERVAL_S, CLAIM_DEADLINE_S
         )
         won = isinstance(result, Appended)
-        self._figures.count("claim", grounds.reason)
+        self._metrics.count("claim", grounds.reason)
         _logger.info(
             "claim",
             extra={
--- a/src/sablemount/control/leader.py
+++ b/src/sablemount/control/leader.py
@@ -73,35 +73,35 @@
         ports: LeaderPorts,
         settings: JobSettings,
         rng: random.Random,
-        figures: Figures,
+        metrics: Figures,
         feed: ConfigurationFeed,
         preload_task: "asyncio.Task[Reading | None] | None" = None,
-        roster: Roster | None = None,
+        membership_list: Roster | None = None,
         cell: int = 0,
-        progress: LoadProgress | None = None,
+        load_progress: LoadProgress | None = None,
         uplink: float = 0.0,
     ) -> None:
         self.name = name
         self._preload_task = preload_task
-        self.progress = progress or LoadProgress()
+        self.progress = load_progress or LoadProgress()
         """Progress of the load."""
         self.progress.begin()
         self._load_task: asyncio.Task[None] | None = None
         self.epoch = epoch
         self.ports = ports
-        self.figures = figures
+        self.figures = metrics
         self.members = Members(cell)
         self._background = Background(self._on_error)
         self._began_at = self._confirmed_at = monotonic()
-        self.roster = roster or Roster({})
+        self.roster = membership_list or Roster({})
         self._feed = feed
         self.scheduler = JobScheduler(settings, epoch, LoopClock())
         self.scheduler.reconcile.on_outcome = self._count_completion
-        self.scheduler.vms.on_next_life = partial(figures.count, "next_life")
-        self.scheduler.starts.on_noted = partial(figures.observe, "note_start")
+        self.scheduler.vms.on_next_life = partial(metrics.count, "next_life")
+        self.scheduler.starts.on_noted = partial(metrics.observe, "note_start")
         self.committer = Committer(ports.store, epoch, rng, uplink)
         self.commits = CommitLoop(
-            self.scheduler, self.committer, figures, self._on_confirmed, self._background.keep
+            self.scheduler, self.committer, metrics, self._on_confirmed, self._background.keep
         )
         self._authority = Authority(
             lambda: self.committer.confirmed_at, self.members.stand_in, self.commits.want
@@ -116,7 +116,7 @@
             self.commits.noted,
         )
         self._advice = AdviceCalls(
-            name, self.scheduler.advice, ports.advice, self.members, figures, self._on_advice
+            name, self.scheduler.advice, ports.advice, self.members, metrics, self._on_advice
         )
         self.callers = Callers(
             self.scheduler, self.commits, self._accepts_calls, self._confirmed_recently, self.kick
--- a/src/sablemount/control/load.py
+++ b/src/sablemount/control/load.py
@@ -141,11 +141,11 @@
 class Load:
     """Loads the state for one leadership, in as many attempts as necessary."""
 
-    def __init__(self, epoch: int, store: Store, progress: LoadProgress, figures: Figures) -> None:
+    def __init__(self, epoch: int, store: Store, progress: LoadProgress, metrics: Figures) -> None:
         self._epoch = epoch
         self._progress = progress
         self._store = LoadStore(store, progress)
-        self._figures = figures
+        self._metrics = metrics
         self._began_at = monotonic()
         self._attempts = 0
 
@@ -169,7 +169,7 @@
             _logger.info("load failed", extra={**self._state(), "why": self._store.why})
             preload_task = None
             await asyncio.sleep(RETRY_PAUSE_S)
-        self._figures.observe("load", monotonic() - self._began_at)
+        self._metrics.observe("load", monotonic() - self._began_at)
         _logger.info("loaded", extra={**self._state(), "records": len(records)})
         return records
 
--- a/src/sablemount/control/member.py
+++ b/src/sablemount/control/member.py
@@ -181,24 +181,24 @@
 
     def gauges(self) -> dict[str, float]:
         """Return the gauges of the present state."""
-        figures = {"epoch": float(self._link.epoch), "ready": float(self.ready), "leading": 0.0}
-        figures["configuration_version"] = float(self.feed.version)
-        figures["configuration_age_seconds"] = self.feed.age
+        values = {"epoch": float(self._link.epoch), "ready": float(self.ready), "leading": 0.0}
+        values["configuration_version"] = float(self.feed.version)
+        values["configuration_age_seconds"] = self.feed.age
         leader = self._leading()
         if leader is not None:
             state = leader.scheduler.state
-            figures["leading"] = 1.0
-            figures["store_age_seconds"] = leader.store_age()
-            figures["live_jobs"] = float(len(state.live))
-            figures["open_steps"] = float(len(state.open_steps))
-            figures["vms"] = float(len(state.vms))
-            figures["runs"] = float(sum(len(row.runs) for row in state.vms.values()))
+            values["leading"] = 1.0
+            values["store_age_seconds"] = leader.store_age()
+            values["live_jobs"] = float(len(state.live))
+            values["open_steps"] = float(len(state.open_steps))
+            values["vms"] = float(len(state.vms))
+            values["runs"] = float(sum(len(row.runs) for row in state.vms.values()))
             speeds = leader.scheduler.speeds
-            figures["vm_speed_ratio"] = speeds.ratio
-            figures["vms_uneven"] = float(state.uneven)
-            figures["expected_time_error"] = speeds.error
-            figures |= organisation_gauges(state)
-        return figures
+            values["vm_speed_ratio"] = speeds.ratio
+            values["vms_uneven"] = float(state.uneven)
+            values["expected_time_error"] = speeds.error
+            values |= organisation_gauges(state)
+        return values
 
     # -- Who leads ---------------------------------------------------------------------------
 
--- a/src/sablemount/control/member_calls.py
+++ b/src/sablemount/control/member_calls.py
@@ -92,15 +92,15 @@
             return Pong(leader.epoch, False, 0.0)
         leader.members.pinged(link, ping)
         self._feed.pinged(link, ping.configuration)
-        roster = leader.roster
-        roster.note(ping.name, ping.address)
-        members = roster.since(ping.roster)
+        membership_list = leader.roster
+        membership_list.note(ping.name, ping.address)
+        members = membership_list.since(ping.roster)
         return Pong(
             leader.epoch,
             True,
             leader.committer.owed_for(),
             members=members,
-            roster=ping.roster if members is None else roster.version,
+            roster=ping.roster if members is None else membership_list.version,
             configuration=self._feed.version,
             configuration_age=self._feed.age,
             cell=0 if ping.cell == leader.members.size else leader.members.size,
