--- a/src/sablemount/control/background.py
+++ b/src/sablemount/control/background.py
@@ -26,7 +26,7 @@
         return task
 
     def keep(self, task: "asyncio.Task[None]") -> None:
-        """Hold a task that was started elsewhere."""
+        """Track a task that was started elsewhere."""
         self._tasks[task] = None
         task.add_done_callback(self._on_done)
 
--- a/src/sablemount/control/election.py
+++ b/src/sablemount/control/election.py
@@ -45,19 +45,17 @@
 POLL_PAUSE_FACTOR = 1.5
 """Factor by which the pause between polls for a later leader grows."""
 MAX_POLL_PAUSE_S = 4.0
-"""Longest average pause between these polls in seconds: the end of an outage is still noticed
-soon."""
+"""Longest average pause between these polls in seconds: the end of an outage is noticed soon."""
 MAX_CLAIM_JITTER_S = 0.15
 """Members wait for a random time of up to this many seconds, so that few claim at once."""
 FIRST_CLAIM_DELAY_S = 0.1
 """Seconds after its start before which a member does not claim the first leadership."""
 STORE_PROBE_TIMEOUT_S = 0.4
-"""Seconds that the store has to answer the probe of a member whose leader reports it
-unavailable."""
+"""Seconds that the store has to answer the probe of a member whose leader cannot reach it."""
 FAST_ANSWER_S = 0.15
 """Seconds within which a healthy store answers a member: 40 times the usual response time."""
 SLOW_STORE_SILENCE_S = 2.0
-"""Seconds for which an answer to the leader may be overdue if the store is slow for this member
+"""Seconds for which an answer to the leader may be overdue if this member finds the store slow
 too."""
 LEADER_RECHECK_TIMEOUT_S = 0.16
 """Seconds that the leader has to answer one more ping before a claim is made for its lost store or
@@ -92,7 +90,7 @@
 
 
 class Position(msgspec.Struct, frozen=True):
-    """The last leadership known here, and the end offset of the leader topic after it."""
+    """The last leadership known here, and the end offset of the leader topic after its record."""
 
     epoch: int
     end: int
@@ -177,13 +175,13 @@
         if record.key != LEADER_KEY or not record.value:
             return
         try:
-            seen = _DECODER.decode(record.value)
+            leader_record = _DECODER.decode(record.value)
         except msgspec.DecodeError:
             _logger.warning("undecodable leader record")
             return
-        self._on_leader(seen)
+        self._on_leader(leader_record)
         # The answer to a claim may arrive late, or belong to a retry, which is refused.
-        self._lead_if_won(seen.epoch)
+        self._lead_if_won(leader_record.epoch)
 
     # -- Whether to claim --------------------------------------------------------------------
 
--- a/src/sablemount/control/hand_over.py
+++ b/src/sablemount/control/hand_over.py
@@ -32,8 +32,7 @@
 RELIEF_POLL_INTERVAL_S = 1.0
 """Seconds between checks for a better machine."""
 RELIEF_PAUSE_S = 5.0
-"""Seconds from the start of a leadership, or from an offer that was declined, until it is
-offered."""
+"""Seconds from the start of a leadership, or from an offer of it in vain, until it is offered."""
 MAX_STORE_DELAY_S = 0.1
 """Seconds by which an answer of the store may be overdue while the system counts as stable: a
 change of leader waits for several of its answers."""
--- a/src/sablemount/control/leader.py
+++ b/src/sablemount/control/leader.py
@@ -157,10 +157,10 @@
         self._background.spawn(self.commits.run())
         self._background.spawn(self._tick_forever())
 
-    def end(self, why: str) -> None:
-        """End the leadership; no request is sent to a VM from now on."""
+    def end(self, reason: str) -> None:
+        """End the leadership for a reason; no request is sent to a VM from now on."""
         if not self.over.is_set():
-            self.why = why
+            self.why = reason
             self.leading = False
             self.over.set()
             if self._load_task is not None:
--- a/src/sablemount/control/leader_link.py
+++ b/src/sablemount/control/leader_link.py
@@ -81,8 +81,7 @@
         self._addresses_version = 0
         """Version of the addresses that the leader has sent."""
         self.cell = 0
-        """Number of members that the last leader counted, including itself; 0 if none has reported
-        it."""
+        """Number of members that the last leader counted, including itself; 0 if it is unknown."""
         self.best = FULL
         """Suitability of the best member that could take over, as the last leader reported it.
         Until then, assume that a fully suitable one exists."""
--- a/src/sablemount/control/load.py
+++ b/src/sablemount/control/load.py
@@ -65,7 +65,7 @@
         self.far = max(self.far, self._complete_bytes + self._partial_bytes)
 
 
-class _Arriving(Progress):
+class _AnswerProgress(Progress):
     """Progress of one answer, which updates the load's progress and that of the caller."""
 
     __slots__ = ("_asked_by", "_load")
@@ -113,8 +113,8 @@
             return await self._store.newest(topic, after, timeout, progress)
         if not after:
             self._progress.again()
-        arriving = _Arriving(self._progress, progress)
-        page = await self._store.newest(topic, after, timeout, arriving)
+        answer_progress = _AnswerProgress(self._progress, progress)
+        page = await self._store.newest(topic, after, timeout, answer_progress)
         if isinstance(page, Unavailable):
             self.why = page.reason
         else:
@@ -125,8 +125,8 @@
         self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
     ) -> ReadResult:
         """Read the records after an offset and record their progress."""
-        arriving = _Arriving(self._progress, progress)
-        result = await self._store.read(topic, offset, wait, arriving)
+        answer_progress = _AnswerProgress(self._progress, progress)
+        result = await self._store.read(topic, offset, wait, answer_progress)
         if isinstance(result, Records):
             self._progress.kept(_size(result.records))
         else:
--- a/src/sablemount/control/member.py
+++ b/src/sablemount/control/member.py
@@ -31,10 +31,10 @@
 __all__ = ["Member"]
 
 RELIST_INTERVAL_S = 8.0
-"""Seconds after which the leader records are listed anew: one may be dropped before it was read."""
+"""Seconds after which records are listed anew: one may be dropped before it was read."""
 LEADING_RELIST_INTERVAL_S = 1.0
-"""The same interval for the configuration while this process leads: members ask it for the current
-one."""
+"""Seconds after which the configuration is listed anew while this process leads: members ask it for
+the current one."""
 WATCH_INTERVAL = 0.05
 """Seconds between checks whether to claim, a small part of the silence that leads to a claim."""
 READY_GRACE_S = 1.0
--- a/src/sablemount/control/members.py
+++ b/src/sablemount/control/members.py
@@ -14,7 +14,7 @@
 
 __all__ = ["Members"]
 
-RECENT_S = 1.0
+HEARD_RECENTLY_S = 1.0
 """Seconds since its last ping for which a member counts as recently heard."""
 COUNTED_WITHIN = 5.0
 """Seconds since its last ping for which a member belongs to the cell: a restart takes up to 3 s,
@@ -26,8 +26,7 @@
 MIN_SUCCESSOR_UPTIME_S = 0.5
 """Seconds since its start after which a member may be asked to take over."""
 BEST_STANDING_TTL_S = 0.1
-"""Seconds for which the best suitability is cached: the answer to each member's ping contains
-it."""
+"""Seconds for which the best suitability is cached: each member's ping requires it."""
 MIN_STABLE_UPTIME_S = 3.0
 """Seconds since its start after which a member may be handed the leadership without need: one that
 restarts repeatedly would otherwise receive it each time."""
@@ -81,7 +80,7 @@
     def heard(self) -> set[str]:
         """Return the names of the members that were heard recently."""
         now = monotonic()
-        return {name for name, row in self._rows.items() if now - row.heard_at < RECENT_S}
+        return {name for name, row in self._rows.items() if now - row.heard_at < HEARD_RECENTLY_S}
 
     # -- Majority ----------------------------------------------------------------------------
 
@@ -142,13 +141,17 @@
             self._best = max((row.standing for row in present if not row.stopping), default=FULL)
         return self._best
 
-    def better(self, own: float) -> list[tuple[str, Link]]:
-        """Return the members clearly more suitable than the leader that are up long enough."""
+    def better(self, own_standing: float) -> list[tuple[str, Link]]:
+        """Return the members clearly more suitable than the leader that have been up long enough.
+
+        ``own_standing`` is the leader's suitability.
+        """
         rows = self._rows
         return [
             (name, link)
             for name, link in self.successors()
-            if clearly_better(rows[name].standing, own) and rows[name].uptime > MIN_STABLE_UPTIME_S
+            if clearly_better(rows[name].standing, own_standing)
+            and rows[name].uptime > MIN_STABLE_UPTIME_S
         ]
 
     def close_links(self) -> None:
--- a/tests/jobs/test_election.py
+++ b/tests/jobs/test_election.py
@@ -98,13 +98,13 @@
             self.link,
             random.Random(name),
             Figures(),
-            self._seen,
+            self._on_leader,
             self.won.append,
             Preload(EmulatedStore(self.state, name)).begin,
             lambda: True,
         )
 
-    def _seen(self, record: LeaderRecord) -> None:
+    def _on_leader(self, record: LeaderRecord) -> None:
         self.link.follow(record)
 
     async def claim(self) -> None:
@@ -131,8 +131,10 @@
             await asyncio.sleep(WATCH_INTERVAL)
 
     async def unseen_claim(self) -> LeaderRecord:
-        """Let another member win the next leadership without informing this one; return its
-        record."""
+        """Let another member win the next leadership, and return its record.
+
+        This member is not informed of it.
+        """
         other_candidate = _Candidate(EmulatedStore, self.state, "rival")
         page = self.state.topics[Topic.LEADER].page("", 1)
         other_candidate.election.listed(page.items, page.end)
--- a/tests/jobs/test_many_members.py
+++ b/tests/jobs/test_many_members.py
@@ -1,5 +1,4 @@
-"""A leader of hundreds of members has time left, and accepts all their connections when it is
-new."""
+"""A leader of hundreds of members has time left, and accepts all of them when it is new."""
 
 import asyncio
 import errno
--- a/tests/jobs/test_narrow_cell.py
+++ b/tests/jobs/test_narrow_cell.py
@@ -1,5 +1,4 @@
-"""A cell whose members reach the store over narrow links keeps working while the configuration
-grows."""
+"""A cell with narrow links to the store keeps working while the configuration grows."""
 
 import asyncio
 
--- a/tests/jobs/test_parted_leader.py
+++ b/tests/jobs/test_parted_leader.py
@@ -62,9 +62,9 @@
     leader = system.leader()
     assert leader is not None
     busy = next(vm for vm in system.cell.vms.values() if vm.runs)
-    other, *ahead_members = [name for name in system.names if name != leader]
+    other, *remaining = [name for name in system.names if name != leader]
     system.partition({leader, other} if with_member else {leader}, busy.info.name)
-    return system, other if with_member else leader, ahead_members[0]
+    return system, other if with_member else leader, remaining[0]
 
 
 @pytest.mark.parametrize("with_member", [False, True])
--- a/tests/jobs/test_stuck_load.py
+++ b/tests/jobs/test_stuck_load.py
@@ -46,8 +46,10 @@
 
 
 async def _start_with_jobs(seed: int, count: int = 20) -> tuple[System, str, str]:
-    """Return a system with jobs, its leader, and the next to claim: the others' machines are
-    small."""
+    """Start a system with jobs in which the machines of all members but two are small.
+
+    Return the system, its leader and the member that claims next.
+    """
     system = System(seed, members=MEMBERS)
     first, second = system.names[:2]
     system.limits = dict.fromkeys(system.names[2:], SMALL)
