--- a/src/sablemount/jobs/systems/advice.py
+++ b/src/sablemount/jobs/systems/advice.py
@@ -1,8 +1,9 @@
-"""Advice: which VMs may run a step, asked for over lanes.
+"""Requests to the advice service, which decides on which VMs a step may run.
 
-Each machine is a lane that works on one call at a time. A call may take from a few milliseconds to
-nearly a second, so slow calls leave some lanes to quick ones. A question about many VMs is divided
-over lanes that are free, since its time grows with the VMs that it names.
+Each machine of the cell provides one call slot, which carries one call at a time. A call takes from
+a few milliseconds to nearly a second, so slow calls leave some slots to quick ones. The time of a
+call grows with the number of VMs that it names, so a request about many VMs is divided over several
+free slots.
 """
 
 import math
@@ -10,119 +11,128 @@
 
 from sablemount.jobs.actions import AskAdvice
 from sablemount.jobs.state import State
-from sablemount.jobs.systems.every import Every
+from sablemount.jobs.systems.all_vms import Every
 from sablemount.jobs.tables import NEVER, AdviceRow, StepRow, Ticket, VmRow
 
 __all__ = ["Advice"]
 
-MS = 1000.0
-SLOW_CALL = 0.3
-"""Calls expected to take longer than this (seconds) leave some lanes to others."""
-KEPT_SHARE = 3
-"""One lane of this many is kept for quick calls."""
-OVERDUE_AFTER = 1.0
-"""Seconds after which a wish that has found no lane is overdue: with the call and the start that
-follow, below the 3 s for which nothing of a job may run while there is room for it."""
-OVERDUE_SHARE = 4
-"""One lane of this many works for overdue wishes first. Where VMs start again faster than all that
-waits can ask for them, urgent work would take every lane for as long as that goes on."""
-MAX_NAMED = 100
-"""VMs named in one call at most, as the platform's pages say."""
-CROWDED_FOR = 0.1
-"""Seconds for which lanes count as short after a wish that found none: a few quick calls."""
-MOST_SOUGHT = 3.0
-"""Times that quick questions may seek a VM's room at once: a good part of the answers is no, but
-all that waits would ask for each VM that has just come, of which the first ones fill it."""
-LEAST_SHARE = 1e-6
-"""A sum of shares below this is none: it is left over by the way that such numbers add up."""
+MS_PER_S = 1000.0
+SLOW_CALL_S = 0.3
+"""Calls that are expected to take longer than this leave some slots to quick calls."""
+QUICK_SLOT_DIVISOR = 3
+"""One slot in this many is reserved for quick calls."""
+OVERDUE_AFTER_S = 1.0
+"""Time after which a request that has found no free slot is overdue. Together with the call and the
+start that follow, it stays below the 3 s for which a job may have nothing running while there is
+free capacity for it."""
+OVERDUE_SLOT_DIVISOR = 4
+"""One slot in this many serves overdue requests first. Where VMs restart faster than all waiting
+steps can ask about them, urgent steps would otherwise occupy every slot for as long as the restarts
+continue."""
+MAX_VMS_PER_CALL = 100
+"""Maximum number of VMs named in one call, as documented by the platform."""
+CONGESTED_FOR_S = 0.1
+"""Time for which slots count as congested after a request that found none: the time of a few quick
+calls."""
+MAX_DEMAND = 3.0
+"""Maximum demand for a VM's free capacity by concurrent quick calls, as a multiple of that
+capacity. It is above 1 because many answers are negative, and bounded because otherwise all waiting
+steps would ask about each new VM, which the first of them fill."""
+MIN_DEMAND = 1e-6
+"""Demand below this counts as zero: it is a rounding error of adding and subtracting shares."""
 SPLIT_SHARE = 0.4
-"""A call is divided where naming its VMs takes more than this share of the time that it takes to
-decide: about 100 VMs were answered in 1.2 s in one call, in 0.7 s in four. Smaller parts cost lanes
-and win little."""
-SPLIT_LEAST = 0.15
-"""Seconds below which a call is not divided: calls cost processor time too."""
-LEAST_NAMED = 30
-"""VMs that are asked for at first at least, of which the most urgent work finds room on some."""
-PLACES_A_TASK = 2.0
-"""Places for each waiting task that the first question is expected to find."""
-FIRST_GOOD = 0.5
-"""Share of VMs that may run a step of a queue, before an answer has told."""
+"""A call is divided where naming its VMs takes more than this share of the time of the decision
+itself. About 100 VMs are answered in 1.2 s in one call and in 0.7 s in four; smaller parts occupy
+more slots and gain little."""
+MIN_SPLIT_CALL_S = 0.15
+"""Calls that are expected to be shorter than this are not divided, since each call costs processor
+time too."""
+MIN_VMS_REQUESTED = 30
+"""Minimum number of VMs in a step's first request, enough for the most urgent steps to find free
+capacity on some of them."""
+PLACES_PER_TASK = 2.0
+"""Places that the first request is expected to find, for each waiting task."""
+INITIAL_GOOD_SHARE = 0.5
+"""Assumed share of VMs that may run a step of a queue, until an answer for the queue has
+arrived."""
 GOOD_SMOOTHING = 0.1
-"""Share of the newest answer in the usual one."""
-TICKET_MARGIN = 0.15
-"""Seconds before its end in which a ticket is not used any more."""
-CALL_SLACK = 1.0
-"""Seconds beyond its expected time after which a call is given up."""
-FAILED_LANE_PAUSE = 0.5
-"""Seconds for which a lane rests whose call failed: its machine may be cut off."""
-RETRY_AFTER = 0.1
-"""Seconds after a failed call until the step is asked for again, times its failures."""
-RENEW_INTERVAL = 0.1
-"""Seconds between looks at the tickets of steps that wait for room."""
-RENEW_COST = 0.1
-"""Seconds that a call takes at least for its tickets to be renewed ahead of need: room that is kept
-through a shorter call is hardly missed."""
-RENEW_MARGIN = 0.3
-"""Seconds before which the new tickets are to be there, for what a call takes beyond its cost."""
+"""Weight of the latest answer in the moving average of a queue's share of permitted VMs."""
+TICKET_MARGIN_S = 0.15
+"""Time before its expiry from which a ticket is no longer used."""
+CALL_SLACK_S = 1.0
+"""Time beyond twice its expected duration after which a call is abandoned."""
+FAILED_SLOT_PAUSE_S = 0.5
+"""Time for which a slot is not used after a failed call, since its machine may be cut off."""
+RETRY_AFTER_S = 0.1
+"""Delay before a step's next call after a failed one, multiplied by its number of failures."""
+RENEW_INTERVAL_S = 0.1
+"""Interval between checks for tickets to renew."""
+SLOW_RENEWAL_S = 0.1
+"""Minimum expected duration of a call for its tickets to be renewed ahead of need: capacity that
+stays idle during a shorter call is no noticeable loss."""
+RENEW_MARGIN_S = 0.3
+"""Time by which renewed tickets have to arrive early, to allow for calls that take longer than
+expected."""
 
 
 @dataclass(slots=True)
-class _Lane:
-    """A machine that can ask; ``busy_until`` is when its call is given up."""
+class _CallSlot:
+    """A machine that makes one call at a time; the call is abandoned at ``busy_until``."""
 
     busy_until: float = NEVER
     pause_until: float = NEVER
     step: StepRow | None = None
-    """The step that it asks for."""
+    """The step that the current call is for; ``None`` if the slot is free."""
     overdue: bool = False
-    """Whether it does so since the step's wish was overdue."""
+    """Whether the call was sent because the step's request was overdue."""
     vms: tuple[str, ...] = ()
     share: float = 0.0
-    """Share of each VM's room that the step seeks."""
+    """Share of each VM's free capacity that the step demands."""
 
 
 class Advice:
-    """Keeps the lanes busy with the calls that are worth most."""
+    """Assigns requests for advice to call slots, the most urgent first."""
 
     def __init__(self, state: State) -> None:
         self._state = state
-        self._lanes: dict[str, _Lane] = {}
-        self._wanted: dict[str, tuple[StepRow, tuple[str, ...], float]] = {}
-        """Wishes: a step, VMs, and the share of the room of each that it seeks there."""
-        self._wished: dict[str, float] = {}
-        """Sum of the shares that are wished for, by VM."""
-        self._sought: dict[str, float] = {}
-        """The same for the calls that are on their way."""
-        self._put_off: dict[str, StepRow] = {}
-        """Steps that do not ask while others seek the same room."""
-        self._unmet: dict[str, float] = {}
-        """Steps whose wishes find no lane, and since when."""
-        self._crowded_until = NEVER
-        self._good: dict[str, float] = {}
-        """Share of the VMs that may run a step, by queue, as answers have told."""
-        self._renewing = Every(RENEW_INTERVAL)
-
-    # -- Lanes -------------------------------------------------------------------------------
+        self._slots: dict[str, _CallSlot] = {}
+        self._pending: dict[str, tuple[StepRow, tuple[str, ...], float]] = {}
+        """Requests without a slot, by step: the step, the VMs, and the share of each VM's free
+        capacity that it demands."""
+        self._pending_demand: dict[str, float] = {}
+        """Sum of the shares that pending requests demand, by VM."""
+        self._demand_in_flight: dict[str, float] = {}
+        """Sum of the shares that calls in flight demand, by VM."""
+        self._deferred: dict[str, StepRow] = {}
+        """Steps that make no request while others demand the same capacity."""
+        self._waiting_since: dict[str, float] = {}
+        """Steps whose requests find no free slot, and since when."""
+        self._congested_until = NEVER
+        self._good_share: dict[str, float] = {}
+        """Share of the VMs that may run a step, by queue: a moving average over the answers."""
+        self._renewal_timer = Every(RENEW_INTERVAL_S)
+
+    # -- Call slots ----------------------------------------------------------------------------
 
     def set_lanes(self, names: set[str]) -> None:
-        """Take the machines that can ask at present."""
-        for name in sorted(names - self._lanes.keys()):
-            self._lanes[name] = _Lane()
-        for name in self._lanes.keys() - names:
-            lane = self._lanes.pop(name)
-            self._give_up(lane)
-
-    def _give_up(self, lane: _Lane) -> None:
-        row = self._over(lane)
+        """Set the machines that can make calls at present."""
+        for name in sorted(names - self._slots.keys()):
+            self._slots[name] = _CallSlot()
+        for name in self._slots.keys() - names:
+            slot = self._slots.pop(name)
+            self._abandon(slot)
+
+    def _abandon(self, slot: _CallSlot) -> None:
+        row = self._finish(slot)
         if row is not None:
             row.failures += 1
             row.asked_at = self._state.now
 
-    def _over(self, lane: _Lane) -> AdviceRow | None:
-        """Take that a lane's call is over, and return what is known of its step."""
-        step = lane.step
-        lane.step = None
-        self._seek(lane, -1)
+    def _finish(self, slot: _CallSlot) -> AdviceRow | None:
+        """Mark a slot's call as finished, and return the advice of its step."""
+        step = slot.step
+        slot.step = None
+        self._add_demand(slot, -1)
         if step is None or step.advice is None:
             return None
         row = step.advice
@@ -132,195 +142,203 @@
         self._state.touch(step)
         return row
 
-    # -- Wishes ------------------------------------------------------------------------------
+    # -- Requests ------------------------------------------------------------------------------
 
     def want(self, step: StepRow, vms: list[str], share: float = 0.0) -> None:
-        """Ask for some VMs as soon as a lane is free, seeking a share of the room of each."""
+        """Request advice on some VMs as soon as a slot is free.
+
+        ``share`` is the share of each VM's free capacity that the step demands.
+        """
         row = step.advice
         if row is None or row.asking or not vms:
             return
-        if row.failures and self._state.now < row.asked_at + RETRY_AFTER * row.failures:
+        if row.failures and self._state.now < row.asked_at + RETRY_AFTER_S * row.failures:
             return
-        self._wanted[step.key] = (step, tuple(vms), share)
+        self._pending[step.key] = (step, tuple(vms), share)
         if share:
             for vm in vms:
-                self._wished[vm] = self._wished.get(vm, 0.0) + share
+                self._pending_demand[vm] = self._pending_demand.get(vm, 0.0) + share
 
-    def sought(self, vm: str) -> bool:
-        """Tell whether as many ask for a VM as could find room there."""
-        return self._wished.get(vm, 0.0) + self._sought.get(vm, 0.0) >= MOST_SOUGHT
+    def in_demand(self, vm: str) -> bool:
+        """Return whether requests already demand as much of a VM as ``MAX_DEMAND`` allows."""
+        return self._pending_demand.get(vm, 0.0) + self._demand_in_flight.get(vm, 0.0) >= MAX_DEMAND
 
-    def put_off(self, step: StepRow) -> None:
-        """Let a step be looked at again once some call that seeks room is over."""
-        self._put_off[step.key] = step
+    def defer(self, step: StepRow) -> None:
+        """Defer a step's request until some call that demands capacity is finished."""
+        self._deferred[step.key] = step
 
-    def _seek(self, lane: _Lane, sign: int) -> None:
-        """Count what a lane's call seeks, or seeks no more."""
-        if not lane.share:
+    def _add_demand(self, slot: _CallSlot, sign: int) -> None:
+        """Add (``sign`` 1) or subtract (-1) the demand of a slot's call."""
+        if not slot.share:
             return
-        for vm in lane.vms:
-            left = self._sought.get(vm, 0.0) + sign * lane.share
-            if left > LEAST_SHARE:
-                self._sought[vm] = left
+        for vm in slot.vms:
+            left = self._demand_in_flight.get(vm, 0.0) + sign * slot.share
+            if left > MIN_DEMAND:
+                self._demand_in_flight[vm] = left
             else:
-                self._sought.pop(vm, None)
+                self._demand_in_flight.pop(vm, None)
         if sign < 0:
-            lane.share = 0.0
-            for step in self._put_off.values():
+            slot.share = 0.0
+            for step in self._deferred.values():
                 self._state.touch(step)
-            self._put_off.clear()
+            self._deferred.clear()
 
     def valid(self, step: StepRow, vm: VmRow) -> bool:
-        """Tell whether a step may be started on a VM now."""
+        """Return whether a step may be started on a VM now.
+
+        A step that needs advice requires a ticket for the VM that does not expire too soon.
+        """
         row = step.advice
         if row is None:
             return True
         ticket = row.good.get(vm.name)
-        return ticket is not None and self._state.now < ticket.until - TICKET_MARGIN
+        return ticket is not None and self._state.now < ticket.until - TICKET_MARGIN_S
 
     def unknown(self, step: StepRow, vm: VmRow) -> bool:
-        """Tell whether nothing is known of a VM for a step."""
+        """Return whether there is no advice yet on a VM for a step."""
         row = step.advice
         return row is not None and vm.name not in row.good and vm.name not in row.bad
 
     def cost(self, step: StepRow, count: int) -> float:
-        """Return the expected time of a call in seconds."""
+        """Return the expected duration in seconds of a call that names some number of VMs."""
         terms = self._state.terms_of(step.job).advice
-        return 0.0 if terms is None else (terms.decide_ms + terms.each_ms * count) / MS
+        return 0.0 if terms is None else (terms.decide_ms + terms.each_ms * count) / MS_PER_S
 
-    def takes_long(self, step: StepRow) -> bool:
-        """Tell whether room that is kept through a question of a step would be missed."""
-        return self.cost(step, 1) >= RENEW_COST
+    def has_slow_calls(self, step: StepRow) -> bool:
+        """Return whether capacity that stays idle during a call for a step is a noticeable loss."""
+        return self.cost(step, 1) >= SLOW_RENEWAL_S
 
-    def enough(self, step: StepRow) -> int:
-        """Return how many VMs to ask for, so that some may run a step and have room for it.
+    def request_size(self, step: StepRow) -> int:
+        """Return on how many VMs to request advice, so that enough are permitted and have capacity.
 
-        A step whose questions take long asks for all at once, over several lanes: it looks for many
-        places, and another question would keep it waiting as long again.
+        A step with slow calls asks about all VMs at once, over several slots: it needs many places,
+        and a second call would delay it as long again.
         """
-        every = len(self._state.vms)
-        if self.cost(step, every) >= SPLIT_LEAST:
-            return every
-        share = self._good.get(step.job.record.terms.name, FIRST_GOOD)
-        return max(LEAST_NAMED, math.ceil(PLACES_A_TASK * step.waiting / share))
+        all_vms = len(self._state.vms)
+        if self.cost(step, all_vms) >= MIN_SPLIT_CALL_S:
+            return all_vms
+        share = self._good_share.get(step.job.record.terms.name, INITIAL_GOOD_SHARE)
+        return max(MIN_VMS_REQUESTED, math.ceil(PLACES_PER_TASK * step.waiting / share))
 
-    def _learn(self, step: StepRow, good: int, asked: int) -> None:
+    def _update_good_share(self, step: StepRow, good: int, asked: int) -> None:
         queue = step.job.record.terms.name
-        usual = self._good.get(queue, FIRST_GOOD)
-        self._good[queue] = max(0.05, usual + GOOD_SMOOTHING * (good / asked - usual))
+        average = self._good_share.get(queue, INITIAL_GOOD_SHARE)
+        self._good_share[queue] = max(0.05, average + GOOD_SMOOTHING * (good / asked - average))
 
-    # -- Running -----------------------------------------------------------------------------
+    # -- Assignment ----------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Hand wishes to free lanes, the most urgent first."""
+        """Assign pending requests to free slots, the most urgent first."""
         now = self._state.now
-        for lane in self._lanes.values():
-            if lane.step and now > lane.busy_until:
-                self._give_up(lane)
-                lane.pause_until = now + FAILED_LANE_PAUSE
-        self._answer_wishes()
-        if self._renewing.due(now):
+        for slot in self._slots.values():
+            if slot.step and now > slot.busy_until:
+                self._abandon(slot)
+                slot.pause_until = now + FAILED_SLOT_PAUSE_S
+        self._assign_slots()
+        if self._renewal_timer.due(now):
             self._renew()
 
-    def _answer_wishes(self) -> None:
-        self._answer_overdue()
-        for key in sorted(self._wanted, key=self._urgency):
-            if self._ask(*self._wanted[key]):
-                del self._wanted[key]
-        self._unmet = {key: self._unmet.get(key, self._state.now) for key in self._wanted}
-        if self._unmet:
-            self._crowded_until = self._state.now + CROWDED_FOR
-        # What found no lane is wished for again when placement still needs it.
-        for step, _, _ in self._wanted.values():
+    def _assign_slots(self) -> None:
+        self._assign_overdue()
+        for key in sorted(self._pending, key=self._request_urgency):
+            if self._try_send(*self._pending[key]):
+                del self._pending[key]
+        self._waiting_since = {
+            key: self._waiting_since.get(key, self._state.now) for key in self._pending
+        }
+        if self._waiting_since:
+            self._congested_until = self._state.now + CONGESTED_FOR_S
+        # Placement repeats the requests that found no slot, if they are still needed.
+        for step, _, _ in self._pending.values():
             self._state.touch(step)
-        self._wanted.clear()
-        self._wished.clear()
+        self._pending.clear()
+        self._pending_demand.clear()
 
-    def _answer_overdue(self) -> None:
-        """Hand some lanes to the wishes that have found none for longest, urgent or not."""
-        overdue = [key for key in self._wanted if self._overdue(key)]
+    def _assign_overdue(self) -> None:
+        """Assign some slots to the requests that have waited longest, regardless of urgency."""
+        overdue = [key for key in self._pending if self._is_overdue(key)]
         if not overdue:
             return
-        busy = sum(1 for lane in self._lanes.values() if lane.step and lane.overdue)
-        # The only lane is left to what is most urgent.
-        most = min(len(self._lanes) - 1, max(1, len(self._lanes) // OVERDUE_SHARE)) - busy
-        free = self._free_lanes()[: max(0, most)]
-        overdue.sort(key=self._unmet.__getitem__)
+        busy = sum(1 for slot in self._slots.values() if slot.step and slot.overdue)
+        # A single slot is left to the most urgent requests.
+        limit = min(len(self._slots) - 1, max(1, len(self._slots) // OVERDUE_SLOT_DIVISOR)) - busy
+        free = self._free_slots()[: max(0, limit)]
+        overdue.sort(key=self._waiting_since.__getitem__)
         for key, name in zip(overdue, free, strict=False):
-            step, vms, share = self._wanted.pop(key)
-            self._send(name, step, vms[:MAX_NAMED], share)
-            self._lanes[name].overdue = True
+            step, vms, share = self._pending.pop(key)
+            self._send(name, step, vms[:MAX_VMS_PER_CALL], share)
+            self._slots[name].overdue = True
 
-    def _overdue(self, key: str) -> bool:
+    def _is_overdue(self, key: str) -> bool:
         now = self._state.now
-        return now - self._unmet.get(key, now) >= OVERDUE_AFTER
+        return now - self._waiting_since.get(key, now) >= OVERDUE_AFTER_S
 
     @property
-    def crowded(self) -> bool:
-        """Tell whether some wish has found no lane of late."""
-        return self._state.now < self._crowded_until
+    def congested(self) -> bool:
+        """Whether some request has found no free slot recently."""
+        return self._state.now < self._congested_until
 
-    def unmet_for(self, step: StepRow) -> float:
-        """Return the seconds for which a step's wish has found no lane."""
-        return self._state.now - self._unmet.get(step.key, self._state.now)
+    def slot_wait(self, step: StepRow) -> float:
+        """Return the seconds for which a step's request has found no free slot."""
+        return self._state.now - self._waiting_since.get(step.key, self._state.now)
 
     def _renew(self) -> None:
-        """Renew, over lanes that nobody needs, the tickets of the most urgent steps that wait.
+        """Renew the tickets of the most urgent waiting steps, over slots that no request needs.
 
-        A step that finds room only after its tickets have lapsed would keep that room idle through
+        A step that finds capacity only after its tickets have expired would leave it idle during
         another call.
         """
-        steps = [step for step in self._state.open_steps.values() if self._lapses(step)]
+        steps = [step for step in self._state.open_steps.values() if self._needs_renewal(step)]
         for step in sorted(steps, key=self._step_urgency):
-            free = self._free_lanes()
-            if len(free) <= len(self._lanes) // KEPT_SHARE + 1:
+            free = self._free_slots()
+            if len(free) <= len(self._slots) // QUICK_SLOT_DIVISOR + 1:
                 return
             assert step.advice is not None
-            self._ask(step, tuple(step.advice.good))
+            self._try_send(step, tuple(step.advice.good))
 
-    def _lapses(self, step: StepRow) -> bool:
-        """Tell whether a step waits for room with tickets that end before new ones could come."""
+    def _needs_renewal(self, step: StepRow) -> bool:
+        """Return whether a step waits for capacity and its tickets expire too soon to be replaced."""
         row = step.advice
         if row is None or not step.waiting or row.asking or row.failures:
             return False
-        # The ticket of a life that is over would ask for all the others again and again.
+        # The expired ticket of a terminated VM would cause all others to be renewed repeatedly.
         for vm in [vm for vm in row.good if vm not in self._state.vms]:
             del row.good[vm]
         if not row.good:
             return False
         cost = self.cost(step, len(row.good))
-        if cost < RENEW_COST or not step.job.durable:
+        if cost < SLOW_RENEWAL_S or not step.job.durable:
             return False
         last = min(ticket.until for ticket in row.good.values())
-        return last - TICKET_MARGIN < self._state.now + cost + RENEW_MARGIN
+        return last - TICKET_MARGIN_S < self._state.now + cost + RENEW_MARGIN_S
 
-    def _free_lanes(self) -> list[str]:
+    def _free_slots(self) -> list[str]:
         now = self._state.now
         return [
-            name for name, lane in self._lanes.items() if not lane.step and now >= lane.pause_until
+            name for name, slot in self._slots.items() if not slot.step and now >= slot.pause_until
         ]
 
-    def _urgency(self, key: str) -> tuple[int, float]:
-        return self._step_urgency(self._wanted[key][0])
+    def _request_urgency(self, key: str) -> tuple[int, float]:
+        return self._step_urgency(self._pending[key][0])
 
     def _step_urgency(self, step: StepRow) -> tuple[int, float]:
         return (self._state.terms_of(step.job).priority, step.job.objective_at)
 
-    def _ask(self, step: StepRow, vms: tuple[str, ...], share: float = 0.0) -> bool:
-        """Ask for some VMs over as many lanes as it is worth, and tell whether one was free."""
-        free = self._free_lanes()
-        kept = len(self._lanes) // KEPT_SHARE
-        if not free or (self.cost(step, len(vms)) > SLOW_CALL and len(free) <= kept):
+    def _try_send(self, step: StepRow, vms: tuple[str, ...], share: float = 0.0) -> bool:
+        """Send a request over as many slots as are worthwhile; return whether a slot was free."""
+        free = self._free_slots()
+        kept = len(self._slots) // QUICK_SLOT_DIVISOR
+        if not free or (self.cost(step, len(vms)) > SLOW_CALL_S and len(free) <= kept):
             return False
-        parts = min(self._parts(step, len(vms)), max(1, (len(free) - kept) // 2))
+        parts = min(self._part_count(step, len(vms)), max(1, (len(free) - kept) // 2))
         for number, name in zip(range(parts), free, strict=False):
-            self._send(name, step, vms[number::parts][:MAX_NAMED], share)
+            self._send(name, step, vms[number::parts][:MAX_VMS_PER_CALL], share)
         return True
 
-    def _parts(self, step: StepRow, count: int) -> int:
-        """Return over how many lanes a question about some VMs is best divided."""
+    def _part_count(self, step: StepRow, count: int) -> int:
+        """Return over how many slots a request for some number of VMs is best divided."""
         terms = self._state.terms_of(step.job).advice
-        if terms is None or not terms.each_ms or self.cost(step, count) < SPLIT_LEAST:
+        if terms is None or not terms.each_ms or self.cost(step, count) < MIN_SPLIT_CALL_S:
             return 1
         return max(1, math.ceil(count * terms.each_ms / (SPLIT_SHARE * terms.decide_ms + 1.0)))
 
@@ -328,40 +346,40 @@
         state = self._state
         row = step.advice
         assert row is not None
-        lane = self._lanes[name]
+        slot = self._slots[name]
         cost = self.cost(step, len(vms))
-        lane.step = step
-        lane.overdue = False
-        lane.vms = vms
-        lane.share = share
-        self._seek(lane, 1)
-        lane.busy_until = state.now + 2 * cost + CALL_SLACK
+        slot.step = step
+        slot.overdue = False
+        slot.vms = vms
+        slot.share = share
+        self._add_demand(slot, 1)
+        slot.busy_until = state.now + 2 * cost + CALL_SLACK_S
         if not row.asking:
             row.asked_at = state.now
         row.asking += 1
         state.emit(AskAdvice(name, step.key, vms, cost))
 
-    # -- Answers -----------------------------------------------------------------------------
+    # -- Answers -------------------------------------------------------------------------------
 
     def answered(
         self,
-        lane_name: str,
+        slot_name: str,
         step_key: str,
         asked: tuple[str, ...],
         good: dict[str, str],
         valid_ms: float,
     ) -> None:
-        """Take an answer: tickets by VM, valid for some milliseconds from now."""
-        lane = self._asking(lane_name, step_key)
-        if lane is None or lane.step is None:
+        """Handle an answer: tickets by VM, valid for ``valid_ms`` milliseconds from now."""
+        slot = self._slot_with_call(slot_name, step_key)
+        if slot is None or slot.step is None:
             return
         if asked:
-            self._learn(lane.step, len(good), len(asked))
-        row = self._over(lane)
+            self._update_good_share(slot.step, len(good), len(asked))
+        row = self._finish(slot)
         if row is None:
             return
         row.failures = 0
-        until = self._state.now + valid_ms / MS
+        until = self._state.now + valid_ms / MS_PER_S
         for vm in asked:
             if vm in good:
                 row.good[vm] = Ticket(good[vm], until)
@@ -369,25 +387,25 @@
                 row.bad.add(vm)
                 row.good.pop(vm, None)
 
-    def failed(self, lane_name: str, step_key: str) -> None:
-        """Take that a call got no usable answer; its lane rests a little."""
-        lane = self._asking(lane_name, step_key)
-        if lane is None:
+    def failed(self, slot_name: str, step_key: str) -> None:
+        """Record that a call got no usable answer; its slot is not used for a short time."""
+        slot = self._slot_with_call(slot_name, step_key)
+        if slot is None:
             return
-        lane.pause_until = self._state.now + FAILED_LANE_PAUSE
-        row = self._over(lane)
+        slot.pause_until = self._state.now + FAILED_SLOT_PAUSE_S
+        row = self._finish(slot)
         if row is not None:
             row.failures += 1
 
-    def _asking(self, lane_name: str, step_key: str) -> _Lane | None:
-        """Return a lane if its call for a step has not been given up."""
-        lane = self._lanes.get(lane_name)
-        if lane is None or lane.step is None or lane.step.key != step_key:
+    def _slot_with_call(self, slot_name: str, step_key: str) -> _CallSlot | None:
+        """Return a slot if it still carries a call for a step, or ``None``."""
+        slot = self._slots.get(slot_name)
+        if slot is None or slot.step is None or slot.step.key != step_key:
             return None
-        return lane
+        return slot
 
     def refused(self, step: StepRow, vm: str) -> None:
-        """Take that a VM refused a ticket."""
+        """Record that a VM refused a step's ticket."""
         row: AdviceRow | None = step.advice
         if row is not None and vm in row.good:
             row.good[vm].until = NEVER
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -71,7 +71,7 @@
         self._round_of: list[VmRow] = []
         self._by_kind: dict[tuple[str, str], list[VmRow]] = {}
 
-    # -- The round ---------------------------------------------------------------------------
+    # -- The round -----------------------------------------------------------------------------
 
     def run(self) -> None:
         """Look at the steps for which something has changed."""
@@ -264,7 +264,7 @@
                 "crashes": max(len(task.crashes) for task in step.tasks),
                 "booked": len(step.booked),
                 "asking": 0 if advice is None else advice.asking,
-                "unasked_for": round(self._advice.unmet_for(step), 3),
+                "unasked_for": round(self._advice.slot_wait(step), 3),
                 "good": -1 if advice is None else len(advice.good),
                 "bad": -1 if advice is None else len(advice.bad),
                 "held": self._held_back.by(step),
@@ -272,7 +272,7 @@
             },
         )
 
-    # -- Advice ------------------------------------------------------------------------------
+    # -- Advice --------------------------------------------------------------------------------
 
     def _ask_unknown(self, step: StepRow, usable: list[VmRow]) -> None:
         """Ask for the VMs of which nothing is known, those with most room first."""
@@ -297,7 +297,7 @@
             return
         needed = self._speeds.needed(step)
         unknown.sort(key=lambda row: (not self._speeds.enough(needed, row), -row.room.cores))
-        asked = unknown[: self._advice.enough(step)]
+        asked = unknown[: self._advice.request_size(step)]
         self._advice.want(step, [row.name for row in asked], self._share_sought(step, asked))
 
     def _worth_asking(self, step: StepRow, row: VmRow) -> bool:
@@ -308,18 +308,18 @@
         """
         if row.trial not in ("", step.job.name):
             return False
-        if self._advice.takes_long(step) or not self._advice.crowded:
+        if self._advice.has_slow_calls(step) or not self._advice.congested:
             return True
         if not step.spec.charge.fits(row.room):
             return False
-        if self._advice.sought(row.name):
-            self._advice.put_off(step)
+        if self._advice.in_demand(row.name):
+            self._advice.defer(step)
             return False
         return True
 
     def _share_sought(self, step: StepRow, rows: list[VmRow]) -> float:
         """Return which share of the room of some VMs a step seeks by a quick question."""
-        if self._advice.takes_long(step):
+        if self._advice.has_slow_calls(step):
             return 0.0
         places = sum(step.spec.charge.times_in(row.room) for row in rows)
         return min(1.0, step.waiting / places) if places else 0.0
@@ -344,7 +344,7 @@
             step.booked[row.name] = step.booked.get(row.name, 0) + 1
             row.room = row.room.plus(step.spec.charge, -1)
 
-    # -- Starts ------------------------------------------------------------------------------
+    # -- Starts --------------------------------------------------------------------------------
 
     def _start(self, step: StepRow, chosen: Assignment) -> None:
         if not chosen:
--- a/tests/jobs/test_crowded_lanes.py
+++ b/tests/jobs/test_crowded_lanes.py
@@ -6,7 +6,7 @@
 
 from sablemount.jobs.actions import AskAdvice
 from sablemount.jobs.model import AdviceTerms, Queue, Shape, StepSpec
-from sablemount.jobs.systems.advice import OVERDUE_AFTER, OVERDUE_SHARE
+from sablemount.jobs.systems.advice import OVERDUE_AFTER_S, OVERDUE_SLOT_DIVISOR
 from tests.jobs.rig import CAPACITY, Rig, queue, spec
 
 QUICK = queue("quick", 0, AdviceTerms(13.0, 0.2, 2000.0))
@@ -87,8 +87,8 @@
     crowd = _crowded(slow=20)
     crowd.all_ask(2 * LIMIT)
     calm = crowd.calls_of("calm")
-    seconds = 2 * LIMIT - OVERDUE_AFTER
-    lanes = LANES // OVERDUE_SHARE
+    seconds = 2 * LIMIT - OVERDUE_AFTER_S
+    lanes = LANES // OVERDUE_SLOT_DIVISOR
     assert sum(call.cost for call in calm) <= lanes * (seconds + calm[0].cost)
     assert len(crowd.calls_of("urgent")) > 0.6 * (LANES - lanes) * seconds / ROUND
 
@@ -102,9 +102,9 @@
 
 def test_a_wish_that_is_given_up_is_not_overdue_when_it_comes_back() -> None:
     crowd = _crowded(slow=1)
-    crowd.all_ask(0.9 * OVERDUE_AFTER)
+    crowd.all_ask(0.9 * OVERDUE_AFTER_S)
     crowd.all_ask(0.5, "urgent")
-    crowd.all_ask(0.9 * OVERDUE_AFTER)
+    crowd.all_ask(0.9 * OVERDUE_AFTER_S)
     assert not crowd.calls_of("calm")
 
 
