--- a/src/sablemount/jobs/systems/advice.py
+++ b/src/sablemount/jobs/systems/advice.py
@@ -112,7 +112,7 @@
         """Share of the VMs that may run a step, by queue: a moving average over the answers."""
         self._renewal_timer = Every(RENEW_INTERVAL_S)
 
-    # -- Call slots ----------------------------------------------------------------------------
+    # -- Call slots --------------------------------------------------------------------------
 
     def set_lanes(self, names: set[str]) -> None:
         """Set the machines that can make calls at present."""
@@ -142,7 +142,7 @@
         self._state.touch(step)
         return row
 
-    # -- Requests ------------------------------------------------------------------------------
+    # -- Requests ----------------------------------------------------------------------------
 
     def want(self, step: StepRow, vms: list[str], share: float = 0.0) -> None:
         """Request advice on some VMs as soon as a slot is free.
@@ -225,7 +225,7 @@
         average = self._good_share.get(queue, INITIAL_GOOD_SHARE)
         self._good_share[queue] = max(0.05, average + GOOD_SMOOTHING * (good / asked - average))
 
-    # -- Assignment ----------------------------------------------------------------------------
+    # -- Assignment --------------------------------------------------------------------------
 
     def run(self) -> None:
         """Assign pending requests to free slots, the most urgent first."""
@@ -297,7 +297,7 @@
             self._try_send(step, tuple(step.advice.good))
 
     def _needs_renewal(self, step: StepRow) -> bool:
-        """Return whether a step waits for capacity and its tickets expire too soon to be replaced."""
+        """Return whether a step waits for capacity and its tickets are about to expire."""
         row = step.advice
         if row is None or not step.waiting or row.asking or row.failures:
             return False
@@ -359,7 +359,7 @@
         row.asking += 1
         state.emit(AskAdvice(name, step.key, vms, cost))
 
-    # -- Answers -------------------------------------------------------------------------------
+    # -- Answers -----------------------------------------------------------------------------
 
     def answered(
         self,
--- a/src/sablemount/jobs/systems/caps.py
+++ b/src/sablemount/jobs/systems/caps.py
@@ -1,4 +1,4 @@
-"""How many tasks of a step its organisation's cap lets start now."""
+"""How many tasks of a step may start within its organisation's cap."""
 
 from sablemount.jobs.caps import NO_LIMIT, places_within
 from sablemount.jobs.model import Organisation, Shape
@@ -7,11 +7,11 @@
 
 __all__ = ["Caps"]
 
-HALF = 0.5
+BUSY_SHARE = 0.5
 """Share of its cap from which an organisation counts as busy."""
-HELD_TIME = 2.0
-"""Seconds for which a step of an organisation that is not busy waits for a gang of its own: a job
-that has nothing running for 3 s there counts as lost."""
+RESERVATION_WAIT_S = 2.0
+"""Time for which a step waits for a more urgent gang of its organisation while the organisation is
+not busy: a job that has nothing running for 3 s there counts as lost."""
 
 
 class Caps:
@@ -19,105 +19,109 @@
 
     def __init__(self, state: State) -> None:
         self._state = state
-        self._unseen: Shape | None = Shape()
-        self._held: dict[str, tuple[int, str]] = {}
-        """The most urgent gang that waits for room under its organisation's cap: its priority and
-        its step, by organisation."""
+        self._unreported: Shape | None = Shape()
+        self._reserved: dict[str, tuple[int, str]] = {}
+        """The most urgent gang that waits for its organisation's cap, as its priority and its step,
+        by organisation."""
 
     def begin(self) -> None:
-        """Begin a round of placement: gangs that wait no more hold nothing."""
+        """Begin a placement round: drop the reservations of gangs that no longer wait."""
         open_steps = self._state.open_steps
-        for name in [name for name, held in self._held.items() if held[1] not in open_steps]:
-            del self._held[name]
-        self._unseen = Shape() if self._state.former_settled else self._hidden()
+        for name in [
+            name for name, reserved in self._reserved.items() if reserved[1] not in open_steps
+        ]:
+            del self._reserved[name]
+        self._unreported = Shape() if self._state.former_settled else self._unreported_capacity()
 
-    def _hidden(self) -> Shape | None:
-        """Return the most that may run unseen since a former leader's time.
+    def _unreported_capacity(self) -> Shape | None:
+        """Return the most that runs started by a previous leader may use without being known.
 
-        That is all of the VMs that it used and that have not been heard; ``None`` if not even their
-        size is known.
+        That is the whole capacity of the VMs that the previous leader used and that have not
+        reported yet; ``None`` if not even their size is known.
         """
         rows = self._state.vms.values()
         largest = max((row.info.capacity for row in rows), default=Shape(), key=_cores)
-        hidden = Shape()
+        unreported = Shape()
         for row in rows:
-            if not _unheard(row):
+            if not _may_run_unreported(row):
                 continue
             capacity = row.info.capacity if row.info.capacity.cores else largest
             if not capacity.cores:
                 return None
-            hidden = hidden.plus(capacity)
-        return hidden
+            unreported = unreported.plus(capacity)
+        return unreported
 
     def places(self, step: StepRow) -> int:
         """Return how many more tasks of a step may be started."""
         if step.job.organisation and self._state.configuration.version < 0:
-            # A leader that has read no configuration yet knows no caps, which is not to have none.
+            # A leader that has not read the configuration yet knows no caps, which does not mean
+            # that there are none.
             return 0
         organisation = self.organisation(step)
         if organisation is None or organisation.cap == Shape():
             return NO_LIMIT
-        if self._unseen is None:
+        if self._unreported is None:
             return 0
-        if self._held_from(step, organisation):
+        if self._is_reserved_for_other(step, organisation):
             return 0
         return places_within(
             step.spec.shape,
             organisation.cap,
             self._state.usage.of(organisation.name),
-            self._unseen,
+            self._unreported,
             self._state.settings.cap_overage,
         )
 
-    def _held_from(self, step: StepRow, organisation: Organisation) -> bool:
-        """Tell whether what is left of a cap is held for a more urgent gang."""
-        priority, key = self._held.get(organisation.name, (NO_LIMIT, step.key))
+    def _is_reserved_for_other(self, step: StepRow, organisation: Organisation) -> bool:
+        """Return whether the rest of a cap is reserved for a more urgent gang."""
+        priority, key = self._reserved.get(organisation.name, (NO_LIMIT, step.key))
         if key == step.key or self._state.terms_of(step.job).priority <= priority:
             return False
-        busy = _reaches(self._state.usage.of(organisation.name), organisation.cap, HALF)
-        return busy or self._state.now - step.turn_at < HELD_TIME
+        busy = _reaches_share(self._state.usage.of(organisation.name), organisation.cap, BUSY_SHARE)
+        return busy or self._state.now - step.turn_at < RESERVATION_WAIT_S
 
     def release(self, step: StepRow) -> None:
-        """Hold nothing for a step any more: it is about to be placed anew."""
+        """Drop a step's reservation, since it is about to be placed anew."""
         name = step.job.organisation
-        if name in self._held and self._held[name][1] == step.key:
-            del self._held[name]
+        if name in self._reserved and self._reserved[name][1] == step.key:
+            del self._reserved[name]
 
     def organisation(self, step: StepRow) -> Organisation | None:
-        """Return whose step it is; ``None`` if nobody's, or if it was never configured."""
+        """Return a step's organisation; ``None`` if it has none or was never configured."""
         return self._state.organisations.get(step.job.organisation)
 
-    def short(self, step: StepRow) -> None:
-        """Take that a step has to wait for its cap: a gang keeps what ends from lesser work.
+    def reserve(self, step: StepRow) -> None:
+        """Reserve the rest of a cap for a step that has to wait for it, if the step is a gang.
 
-        Otherwise lesser work of its organisation would take each bit of room as it ends. A gang
-        that the cap can't hold, since that has fallen, would keep it idle.
+        Otherwise less urgent steps of its organisation would take each bit of the cap as runs end.
+        A gang that no longer fits into the cap, since the cap was lowered, gets no reservation: it
+        would leave the cap unused.
         """
         organisation = self.organisation(step)
         if organisation is None or not step.spec.gang:
             return
-        whole = places_within(step.spec.shape, organisation.cap, Shape(), Shape(), 0.0)
-        if whole < step.waiting:
+        places = places_within(step.spec.shape, organisation.cap, Shape(), Shape(), 0.0)
+        if places < step.waiting:
             return
         priority = self._state.terms_of(step.job).priority
-        if organisation.name in self._held and self._held[organisation.name][0] <= priority:
+        if organisation.name in self._reserved and self._reserved[organisation.name][0] <= priority:
             return
-        self._held[organisation.name] = (priority, step.key)
+        self._reserved[organisation.name] = (priority, step.key)
 
 
 def _cores(shape: Shape) -> int:
     return shape.cores
 
 
-def _unheard(row: VmRow) -> bool:
+def _may_run_unreported(row: VmRow) -> bool:
     return row.loaded and row.first_heard_at < 0 and not row.gone
 
 
-def _reaches(used: Shape, cap: Shape, share: float) -> bool:
-    """Tell whether something is used up to a share of its cap."""
+def _reaches_share(usage: Shape, cap: Shape, share: float) -> bool:
+    """Return whether a usage reaches some share of a cap in any resource."""
     pairs = (
-        (used.cores, cap.cores),
-        (used.memory, cap.memory),
-        (used.accelerators, cap.accelerators),
+        (usage.cores, cap.cores),
+        (usage.memory, cap.memory),
+        (usage.accelerators, cap.accelerators),
     )
-    return any(limit and taken >= share * limit for taken, limit in pairs)
+    return any(limit and used >= share * limit for used, limit in pairs)
--- a/src/sablemount/jobs/systems/every.py
+++ b/src/sablemount/jobs/systems/every.py
@@ -1,18 +1,18 @@
-"""For systems that need not run at each tick."""
+"""Timer for systems that need not run at each tick."""
 
 __all__ = ["Every"]
 
 
 class Every:
-    """Tells, at most once in some seconds, that a system is due."""
+    """Timer that is due at most once per interval."""
 
-    def __init__(self, seconds: float) -> None:
-        self._seconds = seconds
-        self._ran_at = -seconds
+    def __init__(self, interval_s: float) -> None:
+        self._interval_s = interval_s
+        self._last_due_at = -interval_s
 
     def due(self, now: float) -> bool:
-        """Tell whether the seconds are over, and count them anew if they are."""
-        if now - self._ran_at < self._seconds:
+        """Return whether the interval has passed, and restart it if so."""
+        if now - self._last_due_at < self._interval_s:
             return False
-        self._ran_at = now
+        self._last_due_at = now
         return True
--- a/src/sablemount/jobs/systems/held_back.py
+++ b/src/sablemount/jobs/systems/held_back.py
@@ -1,6 +1,6 @@
-"""Why a step that waits has nothing started: for each VM, the first thing that speaks against it.
+"""Why a waiting step is not started: for each VM, the first reason that blocks it.
 
-It is looked at for the log alone, for a few steps at a time, since it goes over all VMs.
+This is computed only for the log, for a few steps at a time, since it takes a pass over all VMs.
 """
 
 import enum
@@ -13,32 +13,32 @@
 from sablemount.jobs.systems.vms import Vms
 from sablemount.jobs.tables import StepRow, TaskRow, TaskState, VmRow
 
-__all__ = ["Hold", "HeldBack"]
+__all__ = ["BlockingAnalysis", "BlockingReason"]
 
 
-class Hold(enum.Enum):
-    """What keeps a step from a VM."""
+class BlockingReason(enum.Enum):
+    """What blocks a step from starting on a VM."""
 
     SILENT = "silent"
     AVOIDED = "avoided"
-    ROOM_UNKNOWN = "room not known"
-    UNPROVEN = "to show that it lists ends"
+    CAPACITY_UNKNOWN = "room not known"
+    UNVERIFIED = "to show that it lists ends"
     UNUSABLE = "unusable"
-    TRIAL = "on trial"
-    KEPT = "kept"
-    UNKNOWN = "no advice yet"
-    BAD = "not allowed"
+    ISOLATED = "on trial"
+    RESERVED_FOR_STEP = "kept"
+    NO_ADVICE = "no advice yet"
+    NOT_ALLOWED = "not allowed"
     FULL = "full"
-    RESERVED = "reserved"
-    FAILED = "failed there"
+    RESERVED_FOR_GANG = "reserved"
+    FAILED_BEFORE = "failed there"
     SUSPECTS = "suspects"
-    CRASHED = "crashed before"
-    OPEN = "open"
-    """Nothing speaks against it."""
+    CRASHED_BEFORE = "crashed before"
+    NOT_BLOCKED = "open"
+    """Nothing blocks the step."""
 
 
-class HeldBack:
-    """Tells what holds a step back."""
+class BlockingAnalysis:
+    """Determines what blocks a waiting step."""
 
     def __init__(
         self, state: State, vms: Vms, advice: Advice, reservation: Reservation, trials: Trials
@@ -49,42 +49,48 @@
         self._reservation = reservation
         self._trials = trials
 
-    def by(self, step: StepRow) -> dict[str, int]:
-        """Return how many VMs of a step's pool each reason keeps it from."""
+    def count_reasons(self, step: StepRow) -> dict[str, int]:
+        """Return the number of VMs in a step's pool by blocking reason."""
         pool = self._state.terms_of(step.job).pool
         rows = [row for row in self._state.vms.values() if row.info.pool == pool]
-        left = {row.name for row in self._reservation.left_to(step, rows)}
+        unreserved = {row.name for row in self._reservation.available_to(step, rows)}
         task = next((task for task in step.tasks if task.state is TaskState.WAITING), None)
-        found = Counter(self._hold(step, task, row, row.name in left) for row in rows)
-        return {hold.value: found[hold] for hold in Hold if found[hold]}
+        found = Counter(self._reason(step, task, row, row.name in unreserved) for row in rows)
+        return {reason.value: found[reason] for reason in BlockingReason if found[reason]}
 
-    def _hold(self, step: StepRow, task: TaskRow | None, row: VmRow, left: bool) -> Hold:
+    def _reason(
+        self, step: StepRow, task: TaskRow | None, row: VmRow, unreserved: bool
+    ) -> BlockingReason:
         now = self._state.now
         if row.avoid_until > now:
-            return Hold.AVOIDED
+            return BlockingReason.AVOIDED
         if not self._vms.fresh(row) or row.refused_since >= row.heard_at:
-            return Hold.SILENT
+            return BlockingReason.SILENT
         if not self._vms.room_known(row):
-            return Hold.ROOM_UNKNOWN
+            return BlockingReason.CAPACITY_UNKNOWN
         if not self._vms.usable(row):
-            return Hold.UNPROVEN if row.unproven else Hold.UNUSABLE
+            return BlockingReason.UNVERIFIED if row.unproven else BlockingReason.UNUSABLE
         if row.trial not in ("", step.job.name):
-            return Hold.TRIAL
+            return BlockingReason.ISOLATED
         if row.kept_from(step, self._state.terms_of(step.job).priority, now):
-            return Hold.KEPT
+            return BlockingReason.RESERVED_FOR_STEP
         if not step.spec.charge.fits(row.room):
-            return Hold.FULL
+            return BlockingReason.FULL
         if self._advice.unknown(step, row):
-            return Hold.UNKNOWN
+            return BlockingReason.NO_ADVICE
         if step.advice is not None and row.name not in step.advice.good:
-            return Hold.BAD
-        if not left:
-            return Hold.RESERVED
-        return Hold.OPEN if task is None else self._hold_of(task, row)
+            return BlockingReason.NOT_ALLOWED
+        if not unreserved:
+            return BlockingReason.RESERVED_FOR_GANG
+        return BlockingReason.NOT_BLOCKED if task is None else self._task_reason(task, row)
 
-    def _hold_of(self, task: TaskRow, row: VmRow) -> Hold:
+    def _task_reason(self, task: TaskRow, row: VmRow) -> BlockingReason:
         if row.name in task.failed_on:
-            return Hold.FAILED
+            return BlockingReason.FAILED_BEFORE
         if not self._trials.may_start(task, row):
-            return Hold.SUSPECTS
-        return Hold.CRASHED if task.crashed_before(row) else Hold.OPEN
+            return BlockingReason.SUSPECTS
+        return (
+            BlockingReason.CRASHED_BEFORE
+            if task.crashed_before(row)
+            else BlockingReason.NOT_BLOCKED
+        )
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -1,7 +1,8 @@
-"""Which waiting tasks start on which VMs.
+"""Placement: which waiting tasks start on which VMs.
 
-Steps are taken by priority and then by when their job's objective ends. A gang is placed whole or
-not at all. Where advice is needed, the room of an assignment is booked while tickets are asked for.
+Steps are placed by priority and then by when their job's objective ends. A gang is placed as a
+whole or not at all. Where advice is needed, the capacity of an assignment is booked while tickets
+are requested.
 """
 
 from sablemount.jobs.job_lines import runs_placed
@@ -11,7 +12,7 @@
 from sablemount.jobs.systems.caps import Caps
 from sablemount.jobs.systems.choice import Assignment, Choice
 from sablemount.jobs.systems.every import Every
-from sablemount.jobs.systems.held_back import HeldBack
+from sablemount.jobs.systems.held_back import BlockingAnalysis
 from sablemount.jobs.systems.reservation import Reservation
 from sablemount.jobs.systems.speeds import Speeds
 from sablemount.jobs.systems.starts import Starts
@@ -21,22 +22,23 @@
 
 __all__ = ["Placement"]
 
-TELL_AFTER = 3.0
-"""Seconds after which a step that waits is logged, again and again."""
-TELL_INTERVAL = 0.5
-"""Seconds between two looks for such steps."""
-TOLD_AT_ONCE = 4
-"""Steps that are logged at each look at most: what holds one back takes a look at all VMs."""
-NO_ROOM = Shape()
-MOST_WEIGHED = 20_000
-"""VMs weighed in a round, each as often as a step is held against it, after which the rest of the
-steps is left to the next round: some 40 ms of a processor core, in which nothing else is done."""
-RETRY_INTERVAL = 0.25
-"""Seconds after which a step that found no room is looked at again in any case."""
+LOG_WAIT_AFTER_S = 3.0
+"""Time after which a waiting step is logged, repeated for as long as it waits."""
+LOG_WAIT_INTERVAL_S = 0.5
+"""Interval between two searches for steps to log."""
+MAX_LOGGED_STEPS = 4
+"""Maximum number of steps logged per search: finding what blocks one takes a pass over all VMs."""
+NO_CAPACITY = Shape()
+MAX_VM_EVALUATIONS = 20_000
+"""Maximum number of VMs evaluated in a round, where a VM counts once for each step that is matched
+against it; the remaining steps are left to the next round. This is some 40 ms of a processor core,
+in which the process does nothing else."""
+RETRY_INTERVAL_S = 0.25
+"""Time after which a step that found no capacity is tried again in any case."""
 
 
 class Placement:
-    """Places waiting tasks."""
+    """Assigns waiting tasks to VMs and requests their starts."""
 
     def __init__(
         self,
@@ -57,69 +59,71 @@
         self._speeds = speeds
         self._trials = Trials(state)
         self._choice = Choice(state, advice, self._trials, speeds)
-        self._held_back = HeldBack(state, vms, advice, reservation, self._trials)
-        self._telling = Every(TELL_INTERVAL)
-        self._looked_at = -RETRY_INTERVAL
-        self._most = Shape()
-        """The most cores, memory and accelerators that are free on any one usable VM, or more."""
-        self._weighed = 0
-        """VMs weighed in this round."""
+        self._blocking = BlockingAnalysis(state, vms, advice, reservation, self._trials)
+        self._wait_log_timer = Every(LOG_WAIT_INTERVAL_S)
+        self._last_round_at = -RETRY_INTERVAL_S
+        self._max_free = Shape()
+        """An upper bound of the cores, memory and accelerators that are free on any one usable
+        VM."""
+        self._evaluated = 0
+        """VMs evaluated in this round, counted as for ``MAX_VM_EVALUATIONS``."""
         self._tried: set[str] = set()
-        """Steps tried since the first one was, in as many rounds as that takes."""
-        self._tried_from = -1
-        """What had been freed when the first one was."""
-        self._round_of: list[VmRow] = []
-        self._by_kind: dict[tuple[str, str], list[VmRow]] = {}
+        """Steps tried in this pass over all open steps, which may take several rounds."""
+        self._pass_freed_count = -1
+        """Count of freed capacity when this pass began."""
+        self._candidates_source: list[VmRow] = []
+        self._candidates_by_kind: dict[tuple[str, str], list[VmRow]] = {}
 
-    # -- The round -----------------------------------------------------------------------------
+    # -- Placement round ---------------------------------------------------------------------
 
     def run(self) -> None:
-        """Look at the steps for which something has changed."""
+        """Run a placement round if something has changed since the last pass."""
         state = self._state
-        if state.now - self._looked_at > RETRY_INTERVAL:
+        if state.now - self._last_round_at > RETRY_INTERVAL_S:
             state.freed += 1
-        if self._telling.due(state.now):
-            self._tell_of_waiting()
+        if self._wait_log_timer.due(state.now):
+            self._log_waiting()
         if state.freed == state.placed_at_freed and not state.touched:
             return
-        self._looked_at = state.now
+        self._last_round_at = state.now
         if not self._tried:
-            self._tried_from = state.freed
+            self._pass_freed_count = state.freed
         usable = self.usable_rows()
-        self._most = _most_room(usable)
+        self._max_free = _max_free_capacity(usable)
         self._trials.begin(usable)
         self._reservation.begin()
         self._caps.begin()
         before = set(self._tried)
         if self._round(usable):
-            # What was tried in an earlier round, and has been touched since, has another turn.
+            # A step that was tried in an earlier round and touched since is tried again.
             state.touched &= before & state.open_steps.keys()
             self._tried.clear()
-            state.placed_at_freed = self._tried_from
+            state.placed_at_freed = self._pass_freed_count
         else:
             state.touched -= self._tried - before
 
     @property
     def unfinished(self) -> bool:
-        """Tell whether some steps were left to the next round."""
+        """Whether some steps were left to the next round."""
         return bool(self._tried)
 
     def _round(self, usable: list[VmRow]) -> bool:
-        """Try steps until enough VMs were weighed; return whether all have had their turn.
+        """Try steps until enough VMs were evaluated; return whether every step was tried.
 
-        The most urgent ones are tried in each round, for what has become free meanwhile is theirs
-        first. Then those that were tried give way to the rest.
+        The most urgent steps are tried in each round, since capacity that has become free meanwhile
+        is theirs first. Beyond half of the round's limit, steps already tried in this pass are
+        skipped in favour of the rest.
         """
         state = self._state
         freed = state.freed
-        self._weighed = 0
+        self._evaluated = 0
         for step in self.in_order():
             if not step.waiting:
                 state.open_steps.pop(step.key, None)
-            elif step.key in self._tried and self._weighed > MOST_WEIGHED // 2:
+            elif step.key in self._tried and self._evaluated > MAX_VM_EVALUATIONS // 2:
                 continue
             elif step.tried_at_freed != freed or step.key in state.touched:
-                if self._weighed > MOST_WEIGHED:
+                if self._evaluated > MAX_VM_EVALUATIONS:
                     return False
                 self._tried.add(step.key)
                 self._place(step, usable)
@@ -127,9 +131,9 @@
 
     def in_order(self) -> list[StepRow]:
         """Return the open steps, the most urgent first."""
-        return sorted(self._state.open_steps.values(), key=self._order)
+        return sorted(self._state.open_steps.values(), key=self._urgency)
 
-    def _order(self, step: StepRow) -> tuple[int, float]:
+    def _urgency(self, step: StepRow) -> tuple[int, float]:
         return (self._state.terms_of(step.job).priority, step.job.objective_at)
 
     def usable_rows(self) -> list[VmRow]:
@@ -137,11 +141,11 @@
         return [row for row in self._state.vms.values() if self._vms.usable(row)]
 
     def ready(self, step: StepRow) -> bool:
-        """Tell whether a step may be started at all."""
+        """Return whether a step may be started at all."""
         job = step.job
-        if not job.durable or _gang_runs(step):
+        if not job.durable or _gang_may_run(step):
             return False
-        # What a former leader accepted may still run where nobody has looked yet.
+        # What a previous leader accepted may still run on a VM that was not polled yet.
         return not job.former or self._state.former_settled
 
     def _place(self, step: StepRow, usable: list[VmRow]) -> None:
@@ -150,55 +154,61 @@
         self._release_booked(step)
         step.tried_at_freed = self._state.freed
         if not self.ready(step):
-            self._ask_unknown(step, usable)
+            self._request_unknown(step, usable)
             return
         self._reservation.release(step)
         self._caps.release(step)
         places = self._caps.places(step)
         step.note_cap(places < step.waiting, self._state.now)
         if places < step.waiting:
-            self._caps.short(step)
+            self._caps.reserve(step)
             if step.spec.gang or not places:
                 return
         tasks = [task for task in step.tasks if self.startable(task)][:places]
         if len(tasks) < step.waiting and (step.spec.gang or not tasks):
             return
-        if self._finds_none(step):
-            self._ask_unknown(step, usable)
+        if self._fits_nowhere(step):
+            self._request_unknown(step, usable)
             return
         rows = self.allowed(step, usable)
-        self._weighed += len(usable)
+        self._evaluated += len(usable)
         self._trials.prepare(step, rows)
-        chosen = self._choice.assign(step, tasks, self._reservation.left_to(step, rows))
+        chosen = self._choice.assign(step, tasks, self._reservation.available_to(step, rows))
         if len(chosen) < len(tasks):
-            self._most = _most_room(usable)
-            self._ask_unknown(step, usable)
+            self._max_free = _max_free_capacity(usable)
+            self._request_unknown(step, usable)
             if step.spec.gang:
-                self._reservation.hold(step, rows)
+                self._reservation.reserve(step, rows)
                 return
-        self._start_or_ask(step, chosen)
+        self._start_or_request(step, chosen)
 
     def _release_booked(self, step: StepRow) -> None:
         names = list(step.booked)
         self._state.release_booked(step)
         rows = (self._state.vms.get(name) for name in names)
-        self._most = _most_room([row for row in rows if row is not None], self._most)
+        self._max_free = _max_free_capacity(
+            [row for row in rows if row is not None], self._max_free
+        )
 
-    def _finds_none(self, step: StepRow) -> bool:
-        """Tell whether no VM has room for a task of a step, without a look at each.
+    def _fits_nowhere(self, step: StepRow) -> bool:
+        """Return whether no VM has capacity for a task of a step, without checking each VM.
 
-        In a full cell each step that waits would be held against all VMs in each round. A gang
-        looks at them all the same, to hold some, and so does what waits for a trial.
+        In a full cell every waiting step would otherwise be matched against all VMs in each round.
+        Gangs are matched in any case, to reserve VMs, and so are jobs whose tasks are suspected of
+        crashes and may wait for isolation.
         """
-        looks = step.spec.gang or step.job.name in self._state.suspected
-        return not looks and not step.spec.charge.fits(self._most)
+        exhaustive = step.spec.gang or step.job.name in self._state.suspected
+        return not exhaustive and not step.spec.charge.fits(self._max_free)
 
     def startable(self, task: TaskRow) -> bool:
-        """Tell whether a task waits for a start, and not for the store to note that first."""
+        """Return whether a waiting task may be started now.
+
+        While the store does not answer, tasks whose start has to be recorded first may not.
+        """
         return task.state is TaskState.WAITING and (self._state.noting or not task.noted_first)
 
     def allowed(self, step: StepRow, usable: list[VmRow]) -> list[VmRow]:
-        """Return the VMs on which a step may run, whether they have room or not."""
+        """Return the VMs on which a step may run, whether they have free capacity or not."""
         now = self._state.now
         priority = self._state.terms_of(step.job).priority
         good = None if step.advice is None else step.advice.good
@@ -211,46 +221,49 @@
         ]
 
     def is_candidate(self, step: StepRow, row: VmRow) -> bool:
-        """Tell whether a VM is of a step's pool and label."""
-        return _is_of(row, self._state.terms_of(step.job).pool, step.spec.label)
+        """Return whether a VM is of a step's pool and label."""
+        return _matches(row, self._state.terms_of(step.job).pool, step.spec.label)
 
-    def lets_start(self, step: StepRow, row: VmRow) -> bool:
-        """Tell whether a VM that a step may use takes one of its tasks, as far as crashes tell."""
+    def allows_start(self, step: StepRow, row: VmRow) -> bool:
+        """Return whether earlier crashes let one of a step's tasks start on a VM.
+
+        The VM is one that the step may use in other respects.
+        """
         if not step.job.watched:
             return True
-        return any(self._trials.may_start(task, row) for task in step.tasks if _waits(task))
+        return any(self._trials.may_start(task, row) for task in step.tasks if _is_waiting(task))
 
     def _candidates(self, step: StepRow, usable: list[VmRow]) -> list[VmRow]:
-        """Return the usable VMs of a step's pool and label, found once a round."""
+        """Return the usable VMs of a step's pool and label, computed once a round."""
         kind = (self._state.terms_of(step.job).pool, step.spec.label)
-        if self._round_of is not usable:
-            self._round_of = usable
-            self._by_kind = {}
-        found = self._by_kind.get(kind)
+        if self._candidates_source is not usable:
+            self._candidates_source = usable
+            self._candidates_by_kind = {}
+        found = self._candidates_by_kind.get(kind)
         if found is None:
-            found = self._by_kind[kind] = [row for row in usable if _is_of(row, *kind)]
+            found = self._candidates_by_kind[kind] = [row for row in usable if _matches(row, *kind)]
         return found
 
-    def _tell_of_waiting(self) -> None:
-        """Log some of the steps that have waited for long, with what they wait for."""
+    def _log_waiting(self) -> None:
+        """Log some of the steps that have waited for long, with the reasons."""
         now = self._state.now
         late = [
             step
             for step in self._state.open_steps.values()
-            if step.waiting and now - max(step.opened_at, step.told_at) >= TELL_AFTER
+            if step.waiting and now - max(step.opened_at, step.told_at) >= LOG_WAIT_AFTER_S
         ]
         late.sort(key=lambda step: (step.told_at, step.opened_at))
-        for step in late[:TOLD_AT_ONCE]:
+        for step in late[:MAX_LOGGED_STEPS]:
             step.told_at = now
-            self._tell_of(step, len(late))
+            self._log_wait(step, len(late))
 
-    def _tell_of(self, step: StepRow, late: int) -> None:
+    def _log_wait(self, step: StepRow, late: int) -> None:
         state = self._state
         advice = step.advice
         organisation = self._caps.organisation(step)
         capped = organisation is not None and self._caps.places(step) < step.waiting
         state.logger.info(
-            "step waits",
+            "step is waiting",
             extra={
                 "organisation": step.job.organisation,
                 "cap": organisation.cap if organisation is not None and capped else None,
@@ -267,44 +280,48 @@
                 "unasked_for": round(self._advice.slot_wait(step), 3),
                 "good": -1 if advice is None else len(advice.good),
                 "bad": -1 if advice is None else len(advice.bad),
-                "held": self._held_back.by(step),
+                "held": self._blocking.count_reasons(step),
                 "late": late,
             },
         )
 
-    # -- Advice --------------------------------------------------------------------------------
+    # -- Advice ------------------------------------------------------------------------------
 
-    def _ask_unknown(self, step: StepRow, usable: list[VmRow]) -> None:
-        """Ask for the VMs of which nothing is known, those with most room first."""
+    def _request_unknown(self, step: StepRow, usable: list[VmRow]) -> None:
+        """Request advice on the VMs without any, fast enough ones and most free cores first."""
         advice = step.advice
         if advice is None or advice.asking or advice.known_at == self._state.vms_changed:
             return
         charge = step.spec.charge
         candidates = self._candidates(step, usable)
-        self._weighed += len(candidates)
+        self._evaluated += len(candidates)
         unknown = [
             row
             for row in candidates
             if self._advice.unknown(step, row) and charge.fits(row.info.capacity)
         ]
         if not unknown:
-            # One that is silent or avoided now may be unknown, and usable again at any time.
+            # A VM that is silent or avoided now may lack advice, and may be usable again at any
+            # time.
             if len(usable) == len(self._state.vms):
                 advice.known_at = self._state.vms_changed
             return
-        unknown = [row for row in unknown if self._worth_asking(step, row)]
+        unknown = [row for row in unknown if self._is_worth_request(step, row)]
         if not unknown:
             return
         needed = self._speeds.needed(step)
         unknown.sort(key=lambda row: (not self._speeds.enough(needed, row), -row.room.cores))
-        asked = unknown[: self._advice.request_size(step)]
-        self._advice.want(step, [row.name for row in asked], self._share_sought(step, asked))
+        requested = unknown[: self._advice.request_size(step)]
+        self._advice.want(
+            step, [row.name for row in requested], self._demand_share(step, requested)
+        )
 
-    def _worth_asking(self, step: StepRow, row: VmRow) -> bool:
-        """Tell whether an answer for a VM could be used soon.
+    def _is_worth_request(self, step: StepRow, row: VmRow) -> bool:
+        """Return whether an answer for a VM could be used soon.
 
-        While lanes are short, only a step whose questions take long asks ahead of room. Others
-        would keep each other, and all that is less urgent, from asking where there is some.
+        While call slots are congested, only a step with slow calls requests advice ahead of free
+        capacity. Others would prevent each other, and all less urgent steps, from requesting it
+        where there is some.
         """
         if row.trial not in ("", step.job.name):
             return False
@@ -317,14 +334,14 @@
             return False
         return True
 
-    def _share_sought(self, step: StepRow, rows: list[VmRow]) -> float:
-        """Return which share of the room of some VMs a step seeks by a quick question."""
+    def _demand_share(self, step: StepRow, rows: list[VmRow]) -> float:
+        """Return the share of some VMs' free capacity that a step demands by a quick call."""
         if self._advice.has_slow_calls(step):
             return 0.0
         places = sum(step.spec.charge.times_in(row.room) for row in rows)
         return min(1.0, step.waiting / places) if places else 0.0
 
-    def _start_or_ask(self, step: StepRow, chosen: Assignment) -> None:
+    def _start_or_request(self, step: StepRow, chosen: Assignment) -> None:
         if not chosen:
             return
         stale = {row.name for _, row in chosen if not self._advice.valid(step, row)}
@@ -339,12 +356,12 @@
             self._advice.want(step, sorted(stale))
 
     def _book(self, step: StepRow, chosen: Assignment) -> None:
-        """Keep the room of an assignment until its tickets are there."""
+        """Book the capacity of an assignment until its tickets have arrived."""
         for _, row in chosen:
             step.booked[row.name] = step.booked.get(row.name, 0) + 1
             row.room = row.room.plus(step.spec.charge, -1)
 
-    # -- Starts --------------------------------------------------------------------------------
+    # -- Starts ------------------------------------------------------------------------------
 
     def _start(self, step: StepRow, chosen: Assignment) -> None:
         if not chosen:
@@ -357,24 +374,24 @@
         runs_placed(self._state.logger, step, chosen, self._state.now)
 
 
-def _most_room(rows: list[VmRow], least: Shape = NO_ROOM) -> Shape:
-    """Return the most of each kind that is free on any one of some VMs, and ``least`` at least."""
-    rooms = [least, *(row.room for row in rows)]
+def _max_free_capacity(rows: list[VmRow], least: Shape = NO_CAPACITY) -> Shape:
+    """Return the most of each resource that is free on any one VM, and at least ``least``."""
+    capacities = [least, *(row.room for row in rows)]
     return Shape(
-        max(room.cores for room in rooms),
-        max(room.memory for room in rooms),
-        max(room.accelerators for room in rooms),
+        max(capacity.cores for capacity in capacities),
+        max(capacity.memory for capacity in capacities),
+        max(capacity.accelerators for capacity in capacities),
     )
 
 
-def _is_of(row: VmRow, pool: str, label: str) -> bool:
+def _matches(row: VmRow, pool: str, label: str) -> bool:
     return row.info.pool == pool and (not label or label in row.info.labels)
 
 
-def _waits(task: TaskRow) -> bool:
+def _is_waiting(task: TaskRow) -> bool:
     return task.state is TaskState.WAITING
 
 
-def _gang_runs(step: StepRow) -> bool:
-    """Tell whether some member of a gang may still run, so that none can be started yet."""
+def _gang_may_run(step: StepRow) -> bool:
+    """Return whether a member of a gang may still run, so that none can be started yet."""
     return step.spec.gang and step.waiting < step.open_tasks
--- a/src/sablemount/jobs/systems/preemption.py
+++ b/src/sablemount/jobs/systems/preemption.py
@@ -148,7 +148,7 @@
             # Room that its organisation may not use is of no use to it.
             return
         # Room beside a suspect is of no use to another, and would be kept from all others.
-        open_rows = [row for row in rows if self._placement.lets_start(step, row)]
+        open_rows = [row for row in rows if self._placement.allows_start(step, row)]
         offers = [offer for row in open_rows for offer in self._offers(step, row)]
         # Sorting keeps the order of one VM's offers, each of which builds on those before.
         offers.sort(key=lambda offer: offer.loss)
--- a/tests/jobs/test_full_cell.py
+++ b/tests/jobs/test_full_cell.py
@@ -35,5 +35,5 @@
     load = _load()
     skipped = _play(load)
     assert set(skipped.took) == {each.name for each in load}
-    monkeypatch.setattr(Placement, "_finds_none", lambda self, step: False)
+    monkeypatch.setattr(Placement, "_fits_nowhere", lambda self, step: False)
     assert _play(load).took == skipped.took
--- a/tests/jobs/test_held_back.py
+++ b/tests/jobs/test_held_back.py
@@ -5,8 +5,12 @@
 import pytest
 
 from sablemount.jobs.model import AdviceTerms, Shape, StepSpec
-from sablemount.jobs.systems.held_back import Hold
-from sablemount.jobs.systems.placement import TELL_AFTER, TELL_INTERVAL, TOLD_AT_ONCE
+from sablemount.jobs.systems.held_back import BlockingReason
+from sablemount.jobs.systems.placement import (
+    LOG_WAIT_AFTER_S,
+    LOG_WAIT_INTERVAL_S,
+    MAX_LOGGED_STEPS,
+)
 from tests.jobs.rig import CAPACITY, CORE, Rig, queue, spec
 
 ROUND = 0.1
@@ -21,7 +25,7 @@
 
 
 def _told(caplog: pytest.LogCaptureFixture) -> list[dict[str, object]]:
-    return [vars(line) for line in caplog.records if line.getMessage() == "step waits"]
+    return [vars(line) for line in caplog.records if line.getMessage() == "step is waiting"]
 
 
 def test_a_step_that_waits_in_a_busy_cell_is_told_of_with_what_holds_it_back(
@@ -34,11 +38,15 @@
     rig.scheduler.state.vms["w1"].trial = "other"
     rig.scheduler.state.vms["w2"].refused_since = rig.clock.time + 100.0
     rig.accept("late", spec(StepSpec(1, CORE)))
-    _busy(rig, TELL_AFTER + 2 * TELL_INTERVAL)
+    _busy(rig, LOG_WAIT_AFTER_S + 2 * LOG_WAIT_INTERVAL_S)
     (line,) = [line for line in _told(caplog) if line["step"] == "late.0.0"]
     vms = rig.scheduler.state.vms
     full = next(name for name, row in vms.items() if row.runs)
-    expected = {Hold.FULL.value: 1, Hold.TRIAL.value: 1, Hold.SILENT.value: 1}
+    expected = {
+        BlockingReason.FULL.value: 1,
+        BlockingReason.ISOLATED.value: 1,
+        BlockingReason.SILENT.value: 1,
+    }
     assert full == "w0"
     assert line["held"] == expected
 
@@ -48,10 +56,10 @@
     advised = queue("q", advice=AdviceTerms(20.0, 0.3, 2000.0))
     rig = Rig(vms=2, queues=(advised,))
     rig.accept("late", spec(StepSpec(1, CORE)), advised)
-    _busy(rig, TELL_AFTER + 2 * TELL_INTERVAL)
+    _busy(rig, LOG_WAIT_AFTER_S + 2 * LOG_WAIT_INTERVAL_S)
     (line,) = _told(caplog)
-    assert line["held"] == {Hold.UNKNOWN.value: 2}
-    assert line["unasked_for"] == pytest.approx(TELL_AFTER, abs=2 * TELL_INTERVAL)
+    assert line["held"] == {BlockingReason.NO_ADVICE.value: 2}
+    assert line["unasked_for"] == pytest.approx(LOG_WAIT_AFTER_S, abs=2 * LOG_WAIT_INTERVAL_S)
 
 
 def test_few_steps_are_told_of_at_once_and_each_has_its_turn(
@@ -61,10 +69,10 @@
     rig = Rig(vms=1)
     rig.accept("full", spec(StepSpec(1, WHOLE)))
     rig.run_all()
-    names = [f"late{number}" for number in range(3 * TOLD_AT_ONCE)]
+    names = [f"late{number}" for number in range(3 * MAX_LOGGED_STEPS)]
     for name in names:
         rig.accept(name, spec(StepSpec(1, CORE)))
-    _busy(rig, TELL_AFTER + TELL_INTERVAL)
-    assert len(_told(caplog)) <= 2 * TOLD_AT_ONCE
-    _busy(rig, 3 * TELL_INTERVAL)
+    _busy(rig, LOG_WAIT_AFTER_S + LOG_WAIT_INTERVAL_S)
+    assert len(_told(caplog)) <= 2 * MAX_LOGGED_STEPS
+    _busy(rig, 3 * LOG_WAIT_INTERVAL_S)
     assert {line["step"] for line in _told(caplog)} == {f"{name}.0.0" for name in names}
--- a/tests/jobs/test_large_rounds.py
+++ b/tests/jobs/test_large_rounds.py
@@ -4,7 +4,7 @@
 
 from sablemount.jobs.model import AdviceTerms, StepSpec
 from sablemount.jobs.systems import choice
-from sablemount.jobs.systems.placement import MOST_WEIGHED
+from sablemount.jobs.systems.placement import MAX_VM_EVALUATIONS
 from tests.jobs.rig import CORE, Rig, queue, spec
 
 VMS = 1_000
@@ -53,7 +53,7 @@
         weighed[0] = 0
         rig.tick()
         rounds += 1
-        assert weighed[0] < 2 * MOST_WEIGHED
+        assert weighed[0] < 2 * MAX_VM_EVALUATIONS
         assert rounds < JOBS
     assert rounds > 2
     queues = [start.task.rstrip("0123456789.") for start in rig.started()]
@@ -96,7 +96,7 @@
 
     monkeypatch.setattr(rig.scheduler.advice, "unknown", counting)
     rig.tick()
-    assert weighed < 2 * MOST_WEIGHED
+    assert weighed < 2 * MAX_VM_EVALUATIONS
     while rig.scheduler.placement.unfinished:
         rig.tick()
     assert weighed >= JOBS * VMS
