--- a/src/sablemount/jobs/systems/choice.py
+++ b/src/sablemount/jobs/systems/choice.py
@@ -1,4 +1,4 @@
-"""Which of some VMs each waiting task of a step gets: pure over the tables."""
+"""Choice of a VM for each waiting task of a step: pure over the tables."""
 
 import heapq
 
@@ -13,20 +13,22 @@
 
 Assignment = list[tuple[TaskRow, VmRow]]
 FAR_PENALTY = 10.0
-"""Weight of a VM away from the data, where a task takes twice as long; a free VM weighs 2."""
-FAILED_PAUSE = 1.0
-"""Seconds until a task is tried again where it failed, if there is no other VM for it: a VM that
-fails all that it starts would use up its attempts in a few ms; its tasks tell in less."""
-FAILED_WAIT = 2.0
-"""Seconds for which a task that failed waits for room on another VM; below the 3 s for which
-nothing of a job may run while there is room for it."""
-STALE_PENALTY = 3.0
-"""VMs with a valid ticket go first: otherwise steps whose bookings make each other's VMs
-the fullest ask for new tickets without end."""
+"""Penalty of a VM that is far from the data, where a task takes twice as long; an entirely free VM
+scores 2."""
+FAILED_RETRY_DELAY_S = 1.0
+"""Delay before a task is retried on the VM where it failed, if no other VM can run it. A VM on
+which every start fails would use up the attempts of its tasks within a few ms; within
+this delay the failures of its tasks show that the VM is faulty."""
+FAILED_ELSEWHERE_WAIT_S = 2.0
+"""Time for which a failed task waits for capacity on another VM. It is below the 3 s for which a
+job may have nothing running while there is free capacity for it."""
+NO_TICKET_PENALTY = 3.0
+"""Penalty of a VM without a valid ticket. Without it, steps whose bookings make each other's VMs
+the fullest would request new tickets endlessly."""
 
 
 class Choice:
-    """Packs tasks onto VMs: the fullest that fits, with penalties for what would cost more."""
+    """Packs tasks onto the fullest VM that fits, with penalties for VMs that are worse for a step."""
 
     def __init__(self, state: State, advice: Advice, trials: Trials, speeds: Speeds) -> None:
         self._state = state
@@ -35,22 +37,23 @@
         self._trials = trials
 
     def assign(self, step: StepRow, tasks: list[TaskRow], rows: list[VmRow]) -> Assignment:
-        """Choose a VM for as many tasks as there is room for.
+        """Choose a VM for as many tasks as there is capacity for.
 
-        A gang is as slow as its slowest member, so that it goes where all are fast enough; where
-        there is no room for that it is late anyway, and leaves the fast VMs to others.
+        A gang is as slow as its slowest member, so it is placed where all VMs are fast enough.
+        Where there is no capacity for that, it is late in any case and leaves the fast VMs to
+        others.
         """
-        needed = self._speeds.needed(step)
-        if needed is None or not step.spec.gang:
-            return self._assign(step, tasks, rows, needed)
-        for alike in self._speeds.alike(needed, rows):
-            chosen = self._assign(step, tasks, alike, needed)
+        required_speed = self._speeds.required_speed(step)
+        if required_speed is None or not step.spec.gang:
+            return self._assign(step, tasks, rows, required_speed)
+        for group in self._speeds.speed_groups(required_speed, rows):
+            chosen = self._assign(step, tasks, group, required_speed)
             if len(chosen) == len(tasks):
                 return chosen
         return self._assign(step, tasks, rows, None)
 
     def _assign(
-        self, step: StepRow, tasks: list[TaskRow], rows: list[VmRow], needed: float | None
+        self, step: StepRow, tasks: list[TaskRow], rows: list[VmRow], required_speed: float | None
     ) -> Assignment:
         if step.spec.same_rack:
             rows = self._one_rack(step, len(tasks), rows)
@@ -58,29 +61,31 @@
         fitting = [row for row in rows if charge.fits(row.room)]
         if not fitting:
             return []
-        room = {row.name: row.room for row in fitting}
-        costs = self._speeds.costs(needed, fitting)
+        free = {row.name: row.room for row in fitting}
+        costs = self._speeds.costs(required_speed, fitting)
         if not step.spec.spread and not any(task.failed_on or task.crashes for task in tasks):
-            return self._assign_alike(step, tasks, fitting, costs)
-        counts = self._counts(step) if step.spec.spread else {}
+            return self._assign_uniform(step, tasks, fitting, costs)
+        tasks_per_vm = self._tasks_per_vm(step) if step.spec.spread else {}
         chosen: Assignment = []
         for task in tasks:
-            best = self._best(step, task, self._open_to(task, rows, fitting), room, counts, costs)
+            best = self._best(
+                step, task, self._eligible_rows(task, rows, fitting), free, tasks_per_vm, costs
+            )
             if best is None and (task.failed_on or task.crashes):
                 continue
             if best is None:
                 break
             chosen.append((task, best))
-            counts[best.name] = counts.get(best.name, 0) + 1
-            room[best.name] = room[best.name].plus(charge, -1)
-            if not charge.fits(room[best.name]):
+            tasks_per_vm[best.name] = tasks_per_vm.get(best.name, 0) + 1
+            free[best.name] = free[best.name].plus(charge, -1)
+            if not charge.fits(free[best.name]):
                 fitting.remove(best)
         return chosen
 
-    def _assign_alike(
+    def _assign_uniform(
         self, step: StepRow, tasks: list[TaskRow], fitting: list[VmRow], costs: dict[str, float]
     ) -> Assignment:
-        """Choose for tasks to which nothing has happened yet, with one look at each VM for all."""
+        """Choose VMs for tasks that have neither failed nor crashed, with one pass over all VMs."""
         charge = step.spec.charge
         order = [
             (self._score(step, row, row.room, costs[row.name]), number, row.room)
@@ -91,37 +96,37 @@
         for task in tasks:
             if not order:
                 break
-            _, number, room = order[0]
+            _, number, capacity = order[0]
             row = fitting[number]
             chosen.append((task, row))
-            room = room.plus(charge, -1)
-            if charge.fits(room):
-                score = self._score(step, row, room, costs[row.name])
-                heapq.heapreplace(order, (score, number, room))
+            capacity = capacity.plus(charge, -1)
+            if charge.fits(capacity):
+                score = self._score(step, row, capacity, costs[row.name])
+                heapq.heapreplace(order, (score, number, capacity))
             else:
                 heapq.heappop(order)
         return chosen
 
-    def _open_to(self, task: TaskRow, rows: list[VmRow], fitting: list[VmRow]) -> list[VmRow]:
-        """Return the VMs with room on which what has become of a task before lets it start."""
-        found = self._untried(task, rows, fitting)
+    def _eligible_rows(self, task: TaskRow, rows: list[VmRow], fitting: list[VmRow]) -> list[VmRow]:
+        """Return the VMs with capacity where a task may start, given its failures and crashes."""
+        found = self._not_failed_on(task, rows, fitting)
         if not task.crashes:
             return found
         found = [row for row in found if self._trials.may_start(task, row)]
         return self._trials.elsewhere(task, rows, found)
 
-    def _untried(self, task: TaskRow, rows: list[VmRow], fitting: list[VmRow]) -> list[VmRow]:
-        """Return the VMs with room where a task has not failed.
+    def _not_failed_on(self, task: TaskRow, rows: list[VmRow], fitting: list[VmRow]) -> list[VmRow]:
+        """Return the VMs with capacity where a task has not failed.
 
-        Where it has failed it is tried again only if no other VM has room for it in a while.
+        A VM where it has failed is tried again only if no other VM has capacity for it for a while.
         """
         if not task.failed_on:
             return fitting
-        untried = [row for row in fitting if row.name not in task.failed_on]
+        not_failed_on = [row for row in fitting if row.name not in task.failed_on]
         others = any(row.name not in task.failed_on for row in rows)
-        wait = FAILED_WAIT if others else FAILED_PAUSE
-        if untried or self._state.now - task.failed_at < wait:
-            return untried
+        wait = FAILED_ELSEWHERE_WAIT_S if others else FAILED_RETRY_DELAY_S
+        if not_failed_on or self._state.now - task.failed_at < wait:
+            return not_failed_on
         return fitting
 
     def _best(
@@ -129,42 +134,47 @@
         step: StepRow,
         task: TaskRow,
         rows: list[VmRow],
-        room: dict[str, Shape],
-        counts: dict[str, int],
+        free: dict[str, Shape],
+        tasks_per_vm: dict[str, int],
         costs: dict[str, float],
     ) -> VmRow | None:
-        """Return the VM that is left with the least room, the wanted rack first."""
+        """Return the VM with the lowest score; ``None`` if there is none.
+
+        VMs that already run as many tasks of the step as its spread allows are left out.
+        """
         best: VmRow | None = None
         best_score = 0.0
         spread = step.spec.spread
         for row in rows:
-            if spread and counts.get(row.name, 0) >= spread:
+            if spread and tasks_per_vm.get(row.name, 0) >= spread:
                 continue
-            left = room[row.name]
-            score = self._score(step, row, left, costs[row.name], bool(task.crashes))
+            capacity = free[row.name]
+            score = self._score(step, row, capacity, costs[row.name], bool(task.crashes))
             if best is None or score < best_score:
                 best = row
                 best_score = score
         return best
 
     def _score(
-        self, step: StepRow, row: VmRow, room: Shape, cost: float, apart: bool = False
+        self, step: StepRow, row: VmRow, free: Shape, cost: float, may_crash: bool = False
     ) -> float:
-        """Return what speaks against a VM with some room: the most of it free, and what it costs.
+        """Return the score of a VM with some free capacity, the lower the better.
 
-        What may crash its VM (``apart``) goes where it takes least along.
+        It is the free share of the VM plus its penalties. A task that may crash its VM (``may_crash``)
+        is placed where the fewest other runs would be lost with it, so the free share counts in its
+        favour.
         """
-        left = _leftover(room, row.info.capacity)
-        score = cost + (-left if apart else left)
+        free_share = _leftover(free, row.info.capacity)
+        score = cost + (-free_share if may_crash else free_share)
         rack = step.spec.rack
         if rack and rack not in row.info.labels:
             score += FAR_PENALTY
         if not self._advice.valid(step, row):
-            score += STALE_PENALTY
+            score += NO_TICKET_PENALTY
         return score
 
     def _one_rack(self, step: StepRow, count: int, rows: list[VmRow]) -> list[VmRow]:
-        """Return the VMs of one rack that holds all tasks, or all if there is none."""
+        """Return the VMs of one rack that can run all tasks, or all VMs if there is none."""
         used = {
             self._state.vms[run.vm].info.rack
             for task in step.tasks
@@ -179,16 +189,16 @@
                 return racks[rack]
         return rows
 
-    def _counts(self, step: StepRow) -> dict[str, int]:
-        counts: dict[str, int] = {}
+    def _tasks_per_vm(self, step: StepRow) -> dict[str, int]:
+        tasks_per_vm: dict[str, int] = {}
         for task in step.tasks:
             for run in task.runs:
-                counts[run.vm] = counts.get(run.vm, 0) + 1
-        return counts
+                tasks_per_vm[run.vm] = tasks_per_vm.get(run.vm, 0) + 1
+        return tasks_per_vm
 
 
-def _leftover(room: Shape, capacity: Shape) -> float:
-    """Return the share of a VM that is free, cores and memory weighed alike."""
-    cores = room.cores / capacity.cores if capacity.cores else 0.0
-    memory = room.memory / capacity.memory if capacity.memory else 0.0
+def _leftover(free: Shape, capacity: Shape) -> float:
+    """Return the free share of a VM's cores plus that of its memory."""
+    cores = free.cores / capacity.cores if capacity.cores else 0.0
+    memory = free.memory / capacity.memory if capacity.memory else 0.0
     return cores + memory
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -309,8 +309,10 @@
         unknown = [row for row in unknown if self._is_worth_request(step, row)]
         if not unknown:
             return
-        needed = self._speeds.needed(step)
-        unknown.sort(key=lambda row: (not self._speeds.enough(needed, row), -row.room.cores))
+        required_speed = self._speeds.required_speed(step)
+        unknown.sort(
+            key=lambda row: (not self._speeds.fast_enough(required_speed, row), -row.room.cores)
+        )
         requested = unknown[: self._advice.request_size(step)]
         self._advice.want(
             step, [row.name for row in requested], self._demand_share(step, requested)
--- a/src/sablemount/jobs/systems/preemption.py
+++ b/src/sablemount/jobs/systems/preemption.py
@@ -1,7 +1,8 @@
-"""Which cheaper work yields to a step that has waited too long for room.
+"""Preemption: which less urgent runs are stopped for a step that has waited too long.
 
-Only work of a lower priority yields, and only where what is thrown away is small beside the work
-that gets its room. The room is kept for the step until what yields has stopped.
+Only runs of a lower priority are stopped, and only where the work lost is small beside the work of
+the step that gets their capacity. The capacity is reserved for the step until the runs have
+stopped.
 """
 
 from dataclasses import dataclass
@@ -18,36 +19,40 @@
 
 __all__ = ["Preemption"]
 
-INTERVAL = 0.03
-"""Seconds between two rounds."""
-MOST_WEIGHED = 10_000
-"""VMs weighed in a round, each as often as room is sought on it, after which the rest of the steps
-is left to the next round: some 40 ms of a processor core, in which nothing else is done."""
-MS = 1000.0
-PATIENCE_SHARE = 0.1
-"""Share of its spare time that a step waits before others yield to it."""
-MOST_PATIENCE = 1.5
-"""Seconds that a step waits at most."""
-LOSS_SHARE = 0.6
-"""Work thrown away at most, as a share of the work that gets the room. A render that comes in time
-earns ten times what the work thrown away for it costs; 0.25 left a third more of them late."""
-LEAST_AT_ONCE = 2
-"""Steps that have room made for them at once in the smallest cell."""
-FULL_LOSS_AT = 0.5
-"""Share of its spare time that a step waits until the whole loss may be taken for it."""
-VMS_A_STEP = 64
-"""VMs for each such step in a larger cell. With 270 VMs, 33 at once served no more jobs in time
-than two, and gangs waited 10.3 s at the 99th percentile in place of 5.1 s: each takes what another
-would have had by waiting a little (one simulated day with bursts of both kinds)."""
-KEEP_MARGIN = 1.0
-"""Seconds for which room is kept beyond a stop and two calls for advice."""
-WORTH_KEEPING = 0.85
-"""A run that is further than this yields to nobody: it ends soon."""
+INTERVAL_S = 0.03
+"""Interval between two rounds."""
+MAX_VM_EVALUATIONS = 10_000
+"""Maximum number of VMs evaluated in a round, where a VM counts once for each step that seeks
+capacity on it; the remaining steps are left to the next round. This is some 40 ms of a processor
+core, in which the process does nothing else."""
+MILLI = 1000.0
+"""Milliseconds per second, and thousandths of a core per core."""
+WAIT_SHARE = 0.1
+"""Share of its spare time that a step waits before runs are stopped for it."""
+MAX_WAIT_S = 1.5
+"""Upper bound of that wait."""
+MAX_LOSS_SHARE = 0.6
+"""Maximum work lost, as a share of the work of the step that gets the capacity. A render that ends
+in time earns ten times what the work lost for it costs; a share of 0.25 made a third more of them
+late."""
+MIN_CONCURRENT_STEPS = 2
+"""Number of steps that capacity is freed for at the same time in the smallest cell."""
+FULL_LOSS_AT_SHARE = 0.5
+"""Share of its spare time after which the whole of ``MAX_LOSS_SHARE`` may be lost for a step."""
+VMS_PER_STEP = 64
+"""VMs for each such step in a larger cell. In a simulated day with 270 VMs and bursts of gangs
+and of other work, 33 steps at the same time met no more objectives than two, and gangs waited
+10.3 s instead of 5.1 s at the 99th percentile: each step takes capacity that another would have had
+after a short wait."""
+RESERVATION_MARGIN_S = 1.0
+"""Time for which capacity stays reserved beyond a stop and two calls for advice."""
+NEARLY_DONE_SHARE = 0.85
+"""Progress beyond which a run is not stopped, since it ends soon."""
 
 
 @dataclass(slots=True)
 class _Offer:
-    """Slots of one VM: those that are free, or one more that its victims' room makes."""
+    """Slots of one VM: those that are free, or more that stopping ``victims`` frees."""
 
     row: VmRow
     slots: int
@@ -56,7 +61,7 @@
 
 
 class Preemption:
-    """Makes room for steps that are worth it."""
+    """Frees capacity for waiting steps that are worth the work lost."""
 
     def __init__(
         self,
@@ -72,132 +77,136 @@
         self._advice = advice
         self._reconcile = reconcile
         self._urgency = Urgency(state)
-        self._every = Every(INTERVAL)
-        self._sought: set[str] = set()
-        """Steps for which room was sought since the first one, in as many rounds as that takes."""
-        self._made: dict[str, float] = {}
-        """Steps for which room is being made, until when."""
+        self._timer = Every(INTERVAL_S)
+        self._tried: set[str] = set()
+        """Steps tried in this pass over all open steps, which may take several rounds."""
+        self._reserved_until: dict[str, float] = {}
+        """Steps that capacity is being freed for, and until when it is reserved."""
 
     def run(self) -> None:
-        """Make room for the most urgent steps that wait."""
+        """Free capacity for the most urgent waiting steps."""
         now = self._state.now
-        if not self._every.due(now) or not self._state.noting:
+        if not self._timer.due(now) or not self._state.noting:
             return
-        self._forget_made()
+        self._release_reservations()
         usable: list[VmRow] | None = None
-        weighed = 0
+        evaluated = 0
         for step in self._placement.in_order():
-            if len(self._made) >= self._at_once():
-                self._sought.clear()
+            if len(self._reserved_until) >= self._max_concurrent_steps():
+                self._tried.clear()
                 return
-            if weighed > MOST_WEIGHED:
+            if evaluated > MAX_VM_EVALUATIONS:
                 return
-            if step.key in self._made or not self._due(step):
+            if step.key in self._reserved_until or not self._is_due(step):
                 continue
-            if step.key in self._sought and weighed > MOST_WEIGHED // 2:
-                # It gives way to the rest; the most urgent ones are looked at in each round.
+            if step.key in self._tried and evaluated > MAX_VM_EVALUATIONS // 2:
+                # Skipped in favour of the rest; the most urgent steps are tried in each round.
                 continue
             if usable is None:
                 usable = self._placement.usable_rows()
-            weighed += len(usable)
-            self._sought.add(step.key)
-            self._make_room(step, self._placement.allowed(step, usable))
-        self._sought.clear()
+            evaluated += len(usable)
+            self._tried.add(step.key)
+            self._preempt_for(step, self._placement.allowed(step, usable))
+        self._tried.clear()
 
-    def _at_once(self) -> int:
-        """Return for how many steps room may be made at once."""
-        return max(LEAST_AT_ONCE, len(self._state.vms) // VMS_A_STEP)
+    def _max_concurrent_steps(self) -> int:
+        """Return for how many steps capacity may be freed at the same time."""
+        return max(MIN_CONCURRENT_STEPS, len(self._state.vms) // VMS_PER_STEP)
 
-    def _forget_made(self) -> None:
-        """Give free what is kept for steps that have taken their room, or have not in time."""
-        over = {key for key, until in self._made.items() if not self._making(key, until)}
-        if not over:
+    def _release_reservations(self) -> None:
+        """Release the reservations of steps that have started there, or not in time."""
+        expired = {
+            key for key, until in self._reserved_until.items() if not self._is_pending(key, until)
+        }
+        if not expired:
             return
-        for key in over:
-            del self._made[key]
+        for key in expired:
+            del self._reserved_until[key]
         for row in self._state.vms.values():
-            if row.kept_for in over:
+            if row.kept_for in expired:
                 row.kept_for = ""
                 row.kept_until = NEVER
 
-    def _making(self, key: str, until: float) -> bool:
-        """Tell whether room that is being made for a step has not been taken yet."""
+    def _is_pending(self, key: str, until: float) -> bool:
+        """Return whether capacity is being freed for a step that has not taken it yet."""
         step = self._state.open_steps.get(key)
         return step is not None and step.waiting > 0 and until > self._state.now
 
-    def _due(self, step: StepRow) -> bool:
-        """Tell whether a step has waited long enough; what waits for tickets does not count."""
+    def _is_due(self, step: StepRow) -> bool:
+        """Return whether a step has waited long enough; a wait for tickets does not count."""
         if not step.waiting or step.booked or not self._placement.ready(step):
             return False
         if step.tried_at_freed < 0:
-            # It has not had its turn of placement yet, and may find room without.
+            # Placement has not tried the step yet, and may find capacity without preemption.
             return False
         if step.spec.lasting:
             return False
         if step.job.watched and any(task.on_trial for task in step.tasks):
-            # What is on trial waits for its VM, and room on another is of no use to it.
+            # Isolated tasks wait for their own VM, so that capacity on another is of no use to
+            # them.
             return False
-        patience = min(MOST_PATIENCE, PATIENCE_SHARE * self._urgency.spare(step))
-        return self._urgency.waited(step) > patience
+        max_wait = min(MAX_WAIT_S, WAIT_SHARE * self._urgency.spare(step))
+        return self._urgency.waited(step) > max_wait
 
-    # -- Offers ------------------------------------------------------------------------------
+    # -- Choice of runs ----------------------------------------------------------------------
 
-    def _make_room(self, step: StepRow, rows: list[VmRow]) -> None:
+    def _preempt_for(self, step: StepRow, rows: list[VmRow]) -> None:
         wanted = min(step.waiting, self._caps.places(step))
         if not wanted or (step.spec.gang and wanted < step.waiting):
-            # Room that its organisation may not use is of no use to it.
+            # Capacity beyond the organisation's cap is of no use to the step.
             return
-        # Room beside a suspect is of no use to another, and would be kept from all others.
+        # A VM beside whose suspect the step may not start is of no use to it, and its capacity
+        # would be withheld from all others.
         open_rows = [row for row in rows if self._placement.allows_start(step, row)]
         offers = [offer for row in open_rows for offer in self._offers(step, row)]
-        # Sorting keeps the order of one VM's offers, each of which builds on those before.
+        # The stable sort keeps the order of one VM's offers, each of which builds on those before.
         offers.sort(key=lambda offer: offer.loss)
         chosen: list[_Offer] = []
-        found = 0
+        slots = 0
         for offer in offers:
-            if found >= wanted:
+            if slots >= wanted:
                 break
             chosen.append(offer)
-            found += offer.slots
+            slots += offer.slots
         if not any(offer.victims for offer in chosen):
             return
-        if found < wanted and step.spec.gang:
+        if slots < wanted and step.spec.gang:
             return
         loss = sum(offer.loss for offer in chosen)
-        work = wanted * step.spec.shape.cores / MS * step.spec.expected_ms / MS
-        if loss <= LOSS_SHARE * self._pressing(step) * work:
-            self._take(step, chosen, loss)
+        work = wanted * step.spec.shape.cores / MILLI * step.spec.expected_ms / MILLI
+        if loss <= MAX_LOSS_SHARE * self._loss_fraction(step) * work:
+            self._preempt(step, chosen, loss)
 
     def _offers(self, step: StepRow, row: VmRow) -> list[_Offer]:
-        """Return the free slots of a VM, then each further one with what has to yield for it.
+        """Return the free slots of a VM, then each further slot with the runs to be stopped for it.
 
-        The losses of one VM's offers rise.
+        The losses of one VM's offers increase.
         """
         charge = step.spec.charge
-        room = row.room
-        have = charge.times_in(room)
-        offers = [_Offer(row, have, [], 0.0)] if have else []
+        capacity = row.room
+        slots = charge.times_in(capacity)
+        offers = [_Offer(row, slots, [], 0.0)] if slots else []
         victims: list[tuple[float, RunRow]] = []
-        highest = 0.0
-        for victim in sorted(self._victims(row, step), key=_cost):
-            room = room.plus(victim[1].charge)
+        max_loss = 0.0
+        for victim in sorted(self._victims(row, step), key=_victim_loss):
+            capacity = capacity.plus(victim[1].charge)
             victims.append(victim)
-            made = charge.times_in(room) - have
-            if made > 0:
-                room = _spare_needless(room, charge, have + made, victims)
-                highest = max(highest, sum(cost for cost, _ in victims))
-                offers.append(_Offer(row, made, [run for _, run in victims], highest))
-                have += made
+            gained = charge.times_in(capacity) - slots
+            if gained > 0:
+                capacity = _drop_needless(capacity, charge, slots + gained, victims)
+                max_loss = max(max_loss, sum(cost for cost, _ in victims))
+                offers.append(_Offer(row, gained, [run for _, run in victims], max_loss))
+                slots += gained
                 victims = []
         return offers
 
     def _victims(self, row: VmRow, step: StepRow) -> list[tuple[float, RunRow]]:
-        """Return the runs of a VM that may yield, with the core seconds that are lost."""
+        """Return the runs of a VM that may be stopped, each with the core seconds lost."""
         priority = self._state.terms_of(step.job).priority
         found = []
         for run, task in self._state.running_on(row):
             spec = task.step.spec
-            if spec.gang or spec.lasting or run.percent > 100 * WORTH_KEEPING:
+            if spec.gang or spec.lasting or run.percent > 100 * NEARLY_DONE_SHARE:
                 continue
             if self._state.terms_of(task.step.job).priority <= priority:
                 continue
@@ -207,39 +216,41 @@
         return found
 
     def _loss(self, run: RunRow, saves: bool) -> float:
-        """Return the core seconds that a stop throws away: a stop saves what can be saved."""
+        """Return the core seconds lost by stopping a run, which saves what can be saved."""
         elapsed = max(0.0, self._state.now - run.started_at)
         lost = self._state.settings.restore if saves else elapsed
-        return run.charge.cores / MS * (lost + self._state.settings.stop_time)
+        return run.charge.cores / MILLI * (lost + self._state.settings.stop_time)
 
-    def _pressing(self, step: StepRow) -> float:
-        """Return by how much of the usual share a loss is worth it now: it rises as time goes by.
+    def _loss_fraction(self, step: StepRow) -> float:
+        """Return the fraction of the maximum loss that is acceptable for a step now.
 
-        A small loss pays at once; a larger one waits, for room may come by itself.
+        It rises with time: a small loss pays at once, while a larger one waits, since capacity may
+        become free by itself.
         """
-        return min(1.0, self._urgency.share_gone(step) / FULL_LOSS_AT)
+        return min(1.0, self._urgency.spare_share_used(step) / FULL_LOSS_AT_SHARE)
 
-    # -- Taking ------------------------------------------------------------------------------
+    # -- Stopping runs -----------------------------------------------------------------------
 
-    def _take(self, step: StepRow, offers: list[_Offer], loss: float) -> None:
+    def _preempt(self, step: StepRow, offers: list[_Offer], loss: float) -> None:
         state = self._state
         names = sorted({offer.row.name for offer in offers})
         cost = self._advice.cost(step, len(names))
-        until = state.now + state.settings.stop_time + 2 * cost + KEEP_MARGIN
-        self._made[step.key] = until
+        until = state.now + state.settings.stop_time + 2 * cost + RESERVATION_MARGIN_S
+        self._reserved_until[step.key] = until
         priority = state.terms_of(step.job).priority
         stopped = [run for offer in offers for run in offer.victims]
         for offer in offers:
             offer.row.kept_priority = priority
             offer.row.kept_until = until
-            # A part of a gang's room is of no use to it: others of its kind would take turns.
+            # Part of a gang's capacity is of no use to it, and other gangs would take such parts in
+            # turn. So it is reserved for this gang alone.
             offer.row.kept_for = step.key if step.spec.gang else ""
         for run in stopped:
             self._reconcile.stop(run)
         if step.advice is not None:
             self._advice.want(step, names)
         state.logger.info(
-            "room made",
+            "runs preempted",
             extra={
                 "step": step.key,
                 "waits": step.waiting,
@@ -250,17 +261,17 @@
         )
 
 
-def _cost(victim: tuple[float, RunRow]) -> float:
+def _victim_loss(victim: tuple[float, RunRow]) -> float:
     return victim[0]
 
 
-def _spare_needless(
-    room: Shape, charge: Shape, wanted: int, victims: list[tuple[float, RunRow]]
+def _drop_needless(
+    capacity: Shape, charge: Shape, wanted: int, victims: list[tuple[float, RunRow]]
 ) -> Shape:
-    """Take out the victims without which there is room all the same, the dearest first."""
-    for victim in sorted(victims, key=_cost, reverse=True):
-        left = room.plus(victim[1].charge, -1)
-        if charge.times_in(left) >= wanted:
+    """Remove the victims that need not be stopped to free the wanted slots, the costliest first."""
+    for victim in sorted(victims, key=_victim_loss, reverse=True):
+        remaining = capacity.plus(victim[1].charge, -1)
+        if charge.times_in(remaining) >= wanted:
             victims.remove(victim)
-            room = left
-    return room
+            capacity = remaining
+    return capacity
--- a/src/sablemount/jobs/systems/speeds.py
+++ b/src/sablemount/jobs/systems/speeds.py
@@ -1,11 +1,13 @@
-"""How fast VMs are beside each other, learned from what ends on them.
+"""Relative speeds of VMs, learned from the durations of completed runs.
 
-Answers the load of a cell whose VMs are uneven: two thirds of them may be twice as fast as the
-rest, and work with little slack is late on the slow ones while work with time takes the fast ones.
-Tasks of one step take about as long, so that each that ends tells of its VM against the others'
-tasks; callers' guesses, which are off by a factor of two, only tell where a step has no other.
+The VMs of a cell may be uneven: two thirds of them may be twice as fast as the rest. Steps with
+little slack are then late on the slow VMs while steps with much slack occupy the fast ones. The
+tasks of one step take about as long as each other, so each completed run says how its VM compares
+with those of the step's other tasks. Callers' estimates, which are off by a factor of two, only
+matter where a step has no other completed task.
 
-Logarithms throughout: a speed of 0 is the usual one, and a time is ``expected + bias - speed``.
+All figures are logarithms: a speed of 0 is the usual one, and a duration is ``expected + bias -
+speed``.
 """
 
 import math
@@ -18,248 +20,253 @@
 
 __all__ = ["Speeds"]
 
-MS = 1000.0
-SHORTEST = 0.1
-"""Seconds below which a run tells nothing: its end is seen up to some 0.05 s late."""
-GUESS_WEIGHT = 0.2
-"""Weight of a caller's guess beside one other task of the step: they are off by 0.4 on average,
-tasks of a step by 0.2."""
-MOST_WEIGHT = 6.0
-"""Weight at which a VM's speed stops to settle, so that it follows one that has turned slow."""
-FADES_AFTER = 15.0
-"""Seconds after which an estimate counts half: what ails a VM commonly lasts for some seconds."""
-TRUSTED = 4.0
+MS_PER_S = 1000.0
+MIN_RUN_S = 0.1
+"""Runs shorter than this are ignored: their completion is seen up to some 0.05 s late."""
+CALLER_ESTIMATE_WEIGHT = 0.2
+"""Weight of a caller's estimate relative to one other task of the step: estimates are off by 0.4 on
+average, tasks of a step by 0.2."""
+MAX_EARLIER_WEIGHT = 6.0
+"""Upper bound of the weight of earlier samples, so that the estimate follows a VM that turns
+slow."""
+HALF_LIFE_S = 15.0
+"""Time after which an estimate counts half: a disturbance of a VM commonly lasts for some
+seconds."""
+TRUSTED_WEIGHT = 4.0
 """Weight from which an estimate is used."""
 RESTORED_WEIGHT = 5.0
-"""Weight of a speed that a former leader has learned: it is used, and soon corrected."""
-NOTED_CHANGE = 0.3
-"""By how much a speed has to change to be recorded: a third, so that few are."""
-FIRST_NOTED = 0.05
-"""From where on a speed is recorded that has not been: below it is the usual one."""
-BIAS_SHARE = 0.02
-"""Share of the newest end in the usual time of a queue against its callers' guesses."""
-FARTHEST = 0.8
-"""How far one end may lie from the estimate: a tail of seven times the usual time is the task's."""
-INTERVAL = 0.5
-"""Seconds between two judgements of whether the VMs are uneven."""
-LEAST_KNOWN = 18
-"""VMs whose speeds have to be known for that: of fewer, a fifth is one or two that differ by
-chance."""
-UNEVEN = math.log(2.0)
-"""From where on VMs are taken to be uneven, between the slowest and the fastest fifth: an objective
-of 1.5 times the work bears less, and VMs that differ by that differ by more now and then."""
-EVEN = math.log(1.6)
-"""Below which they are taken to be even again."""
-STEADY = 1.0
-"""Seconds for which they have to differ so, since a few ends may say so by chance."""
+"""Weight of a speed that a previous leader has learned: it is used, and soon corrected."""
+MIN_RECORDED_CHANGE = 0.3
+"""Change of a speed from which it is recorded again: a third, so that few records are written."""
+MIN_FIRST_RECORDED = 0.05
+"""Magnitude from which a first speed is recorded; below it the speed counts as the usual one."""
+SMOOTHING = 0.02
+"""Weight of the latest completion in the moving averages of a queue's bias and of the error."""
+MAX_DEVIATION = 0.8
+"""Maximum deviation of one completion from the estimate that is taken into account: a tail of seven
+times the usual duration is due to the task."""
+INTERVAL_S = 0.5
+"""Interval between two checks of whether the VMs are uneven."""
+MIN_KNOWN_VMS = 18
+"""Minimum number of VMs with known speeds for that check: of fewer, a fifth is one or two that
+differ by chance."""
+UNEVEN_THRESHOLD = math.log(2.0)
+"""Difference between the slowest and the fastest fifth from which VMs count as uneven: an objective
+of 1.5 times the work tolerates less, and even VMs differ by that much now and then."""
+EVEN_THRESHOLD = math.log(1.6)
+"""Difference below which uneven VMs count as even again."""
+STEADY_S = 1.0
+"""Time for which the difference has to last, since a few completions may show it by chance."""
 FIFTH = 5
-MARGIN = math.log(1.2)
-"""By how much a task may take longer than expected on a VM that is good enough for it."""
-SPAN = math.log(1.5)
-"""Beyond the speed that is needed, how much faster a VM is no safer for a step: callers' guesses
+SLOWDOWN_MARGIN = math.log(1.2)
+"""How much longer than expected a task may take on a VM that is fast enough for it."""
+SAFETY_SPAN = math.log(1.5)
+"""How much faster than required a VM has to be to be entirely safe for a step: callers' estimates
 are off by that much."""
 LATE_COST = 6.0
-"""Cost of a VM on which a step is late, where a free VM costs 2 and a far one 10."""
+"""Cost of a VM on which a step is late, where an entirely free VM costs 2 and a far one 10."""
 FAST_COST = 3.0
-"""Cost of a VM that is 2.7 times as fast as another, beside that: it is kept for work without
-time."""
-LEAST_LEFT = 0.05
-"""Seconds to its objective below which a step is late on any VM."""
+"""Additional cost of a VM that is 2.7 times as fast as another: it is left to steps with little
+slack."""
+MIN_TIME_LEFT_S = 0.05
+"""Time left to its objective below which a step counts as late on any VM."""
 
 
 @dataclass(slots=True)
 class _Estimate:
-    """Speed of a machine, how much is behind it, and when the last was added."""
+    """Estimated speed of a machine, the weight of its samples, and when the last was added."""
 
     speed: float = 0.0
     weight: float = 0.0
     at: float = 0.0
 
     def weight_at(self, now: float) -> float:
-        return self.weight * 0.5 ** ((now - self.at) / FADES_AFTER)
+        return self.weight * 0.5 ** ((now - self.at) / HALF_LIFE_S)
 
 
 @dataclass(slots=True)
-class _Times:
-    """What the tasks of a step that have ended took, at the usual speed."""
+class _StepDurations:
+    """Durations of a step's completed tasks, converted to the usual speed."""
 
     total: float = 0.0
     count: int = 0
 
 
 class Speeds:
-    """Estimates speeds, and tells which VMs are fast enough for a step.
+    """Estimates the speeds of VMs and judges which VMs are fast enough for a step.
 
-    ``note`` has a VM's record written anew.
+    ``write_record`` has a VM's record written again.
     """
 
-    def __init__(self, state: State, note: Callable[[VmRow], None]) -> None:
+    def __init__(self, state: State, write_record: Callable[[VmRow], None]) -> None:
         self._state = state
-        self._note = note
-        self._found: dict[str, _Estimate] = {}
-        """By machine, whose speed outlasts its lives, or by VM where no machine is told."""
+        self._write_record = write_record
+        self._estimates: dict[str, _Estimate] = {}
+        """By machine, whose speed outlasts its incarnations, or by VM where the machine is
+        unknown."""
         self._trusted: dict[str, float] = {}
-        """Speeds that are used, so that a choice among many VMs need not weigh estimates."""
+        """The speeds of trusted estimates, so that a choice among many VMs need not compute
+        weights."""
         self._bias: dict[str, float] = {}
-        """How much longer a queue's tasks take than their callers guess, at the usual speed."""
-        self._times: dict[str, _Times] = {}
+        """How much longer a queue's tasks take than their callers estimate, at the usual speed."""
+        self._durations: dict[str, _StepDurations] = {}
         """By step, while it has open tasks."""
-        self._every = Every(INTERVAL)
+        self._timer = Every(INTERVAL_S)
         self.ratio = 1.0
         """How much faster the fast VMs are than the slow ones."""
         self.error = 0.0
-        """How far expected times are off of late, as a logarithm."""
-        self._middle = 0.0
-        """Between the slow VMs and the fast ones."""
-        self._steady_at = state.now + STEADY
-        """When VMs are taken to be uneven if they differ until then."""
+        """Recent average error of expected durations, as a logarithm."""
+        self._midpoint = 0.0
+        """Middle between the slow VMs and the fast ones."""
+        self._steady_at = state.now + STEADY_S
+        """When VMs count as uneven if they differ until then."""
 
     # -- Learning ----------------------------------------------------------------------------
 
     def done(self, vm: VmRow, task: TaskRow, run: RunRow) -> None:
-        """Take that a run ended as done."""
+        """Record the duration of a run that was completed successfully."""
         step = task.step
-        took = run.worked(self._state.now)
-        expected = step.spec.expected_ms / MS
-        # A gang takes as long as its slowest member, and what goes on from a state has less to do.
-        if step.spec.gang or run.resumed or took < SHORTEST or expected <= 0:
+        duration = run.worked(self._state.now)
+        expected = step.spec.expected_ms / MS_PER_S
+        # A gang takes as long as its slowest member, and a run that resumes from saved state has
+        # less to do.
+        if step.spec.gang or run.resumed or duration < MIN_RUN_S or expected <= 0:
             return
         if step.spec.rack and step.spec.rack not in vm.info.labels:
-            # It also takes as long as its data is far.
+            # The duration also depends on how far the data is.
             return
-        self._learn(vm, step, math.log(took / expected))
+        self._learn(vm, step, math.log(duration / expected))
 
-    def _learn(self, vm: VmRow, step: StepRow, took: float) -> None:
+    def _learn(self, vm: VmRow, step: StepRow, duration: float) -> None:
         queue = step.job.record.terms.name
         bias = self._bias.get(queue, 0.0)
-        times = self._times.setdefault(step.key, _Times())
-        behind = GUESS_WEIGHT + times.count
-        baseline = (GUESS_WEIGHT * bias + times.total) / behind
-        estimate = self._found.setdefault(_key(vm), _Estimate())
-        self._add(estimate, baseline - took, behind / (behind + 1.0))
-        if estimate.weight >= TRUSTED:
+        durations = self._durations.setdefault(step.key, _StepDurations())
+        earlier_weight = CALLER_ESTIMATE_WEIGHT + durations.count
+        baseline = (CALLER_ESTIMATE_WEIGHT * bias + durations.total) / earlier_weight
+        estimate = self._estimates.setdefault(_key(vm), _Estimate())
+        self._add(estimate, baseline - duration, earlier_weight / (earlier_weight + 1.0))
+        if estimate.weight >= TRUSTED_WEIGHT:
             self._trusted[_key(vm)] = estimate.speed
-        self.error += BIAS_SHARE * (abs(took - bias + estimate.speed) - self.error)
-        usual = took + estimate.speed
-        times.total += usual
-        times.count += 1
-        self._bias[queue] = bias + BIAS_SHARE * (usual - bias)
+        self.error += SMOOTHING * (abs(duration - bias + estimate.speed) - self.error)
+        usual_duration = duration + estimate.speed
+        durations.total += usual_duration
+        durations.count += 1
+        self._bias[queue] = bias + SMOOTHING * (usual_duration - bias)
 
     def _add(self, estimate: _Estimate, speed: float, weight: float) -> None:
         now = self._state.now
-        before = min(MOST_WEIGHT, estimate.weight_at(now))
-        off = max(-FARTHEST, min(FARTHEST, speed - estimate.speed))
-        estimate.weight = before + weight
-        estimate.speed += off * weight / estimate.weight
+        earlier_weight = min(MAX_EARLIER_WEIGHT, estimate.weight_at(now))
+        deviation = max(-MAX_DEVIATION, min(MAX_DEVIATION, speed - estimate.speed))
+        estimate.weight = earlier_weight + weight
+        estimate.speed += deviation * weight / estimate.weight
         estimate.at = now
 
-    # -- Judging -----------------------------------------------------------------------------
+    # -- Evaluation --------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Judge now and then whether the VMs are uneven."""
+        """Check at regular intervals whether the VMs are uneven."""
         state = self._state
-        if not self._every.due(state.now):
+        if not self._timer.due(state.now):
             return
-        for key in [key for key in self._times if key not in state.open_steps]:
-            if not self._goes_on(key):
-                del self._times[key]
+        for key in [key for key in self._durations if key not in state.open_steps]:
+            if not self._has_open_tasks(key):
+                del self._durations[key]
         self._trusted = {
             key: estimate.speed
-            for key, estimate in self._found.items()
-            if estimate.weight_at(state.now) >= TRUSTED
+            for key, estimate in self._estimates.items()
+            if estimate.weight_at(state.now) >= TRUSTED_WEIGHT
         }
         keys = {_key(row) for row in state.vms.values()}
-        for key in self._found.keys() - keys - self._trusted.keys():
-            del self._found[key]
+        for key in self._estimates.keys() - keys - self._trusted.keys():
+            del self._estimates[key]
         known = sorted(self._trusted[key] for key in keys & self._trusted.keys())
-        part = len(known) // FIFTH
-        between = known[-1 - part] - known[part] if len(known) >= LEAST_KNOWN else 0.0
-        self._middle = (known[-1 - part] + known[part]) / 2 if known else 0.0
-        self.ratio = math.exp(between)
-        if between <= UNEVEN:
-            self._steady_at = state.now + STEADY
-        uneven = between > EVEN if state.uneven else state.now >= self._steady_at
+        fifth = len(known) // FIFTH
+        spread = known[-1 - fifth] - known[fifth] if len(known) >= MIN_KNOWN_VMS else 0.0
+        self._midpoint = (known[-1 - fifth] + known[fifth]) / 2 if known else 0.0
+        self.ratio = math.exp(spread)
+        if spread <= UNEVEN_THRESHOLD:
+            self._steady_at = state.now + STEADY_S
+        uneven = spread > EVEN_THRESHOLD if state.uneven else state.now >= self._steady_at
         if uneven != state.uneven:
             state.uneven = uneven
             state.freed += 1
             extra = {"uneven": uneven, "ratio": round(self.ratio, 2), "known": len(known)}
-            state.logger.info("speeds of VMs", extra=extra)
+            state.logger.info("VM speed spread changed", extra=extra)
         if uneven:
-            self._note_changed()
+            self._record_changes()
 
-    def _note_changed(self) -> None:
-        """Have the speeds recorded that differ from what their records have.
+    def _record_changes(self) -> None:
+        """Have the speeds recorded that differ from those in the VMs' records.
 
-        A later leader then places by them at once, and need not learn them anew.
+        A later leader then uses them at once and need not learn them again.
         """
         for row in self._state.vms.values():
             speed = self._trusted.get(_key(row), row.noted_speed)
-            least = NOTED_CHANGE if row.noted_speed else FIRST_NOTED
-            if abs(speed - row.noted_speed) > least:
+            min_change = MIN_RECORDED_CHANGE if row.noted_speed else MIN_FIRST_RECORDED
+            if abs(speed - row.noted_speed) > min_change:
                 row.noted_speed = round(speed, 2)
-                self._note(row)
+                self._write_record(row)
 
     def restore(self, row: VmRow) -> None:
-        """Take the speed that a VM's record has, until it is learned anew.
+        """Adopt the speed in a VM's record until it is learned again.
 
-        A former leader has noted it since VMs were uneven then.
+        A previous leader recorded it because VMs were uneven then.
         """
         if row.noted_speed:
             now = self._state.now
             self._steady_at = now
-            self._found[_key(row)] = _Estimate(row.noted_speed, RESTORED_WEIGHT, now)
+            self._estimates[_key(row)] = _Estimate(row.noted_speed, RESTORED_WEIGHT, now)
 
-    def _goes_on(self, key: str) -> bool:
+    def _has_open_tasks(self, key: str) -> bool:
         job, repetition, number = key.split(".")
         row = self._state.live.get(job)
         step = None if row is None else row.steps.get((int(repetition), int(number)))
         return step is not None and step.open_tasks > 0
 
     def of(self, row: VmRow) -> float:
-        """Return a VM's speed; the usual one if it is not known."""
+        """Return a VM's speed; 0, the usual one, if it is not known."""
         return self._trusted.get(_key(row), 0.0)
 
-    def needed(self, step: StepRow) -> float | None:
-        """Return the speed with which a step's job ends in time; ``None`` if any will do.
+    def required_speed(self, step: StepRow) -> float | None:
+        """Return the speed at which a step's job meets its objective; ``None`` if any will do.
 
-        So it is where VMs are even, and where it is too late on all of them.
+        Any speed will do where VMs are even, and where it is too late on all of them.
         """
         if not self._state.uneven or step.spec.lasting:
             return None
         left = step.job.objective_at - self._state.now
-        if left < LEAST_LEFT or step.chain <= 0:
+        if left < MIN_TIME_LEFT_S or step.chain <= 0:
             return None
         bias = self._bias.get(step.job.record.terms.name, 0.0)
-        return math.log(step.chain / left) + bias + MARGIN
+        return math.log(step.chain / left) + bias + SLOWDOWN_MARGIN
 
-    def costs(self, needed: float | None, rows: list[VmRow]) -> dict[str, float]:
-        """Return what speaks against VMs for a step that needs some speed, by name."""
+    def costs(self, required_speed: float | None, rows: list[VmRow]) -> dict[str, float]:
+        """Return the cost of each VM, by name, for a step that requires some speed."""
         if not self._state.uneven:
             return {row.name: 0.0 for row in rows}
-        return {row.name: _cost(needed, self.of(row)) for row in rows}
+        return {row.name: _cost(required_speed, self.of(row)) for row in rows}
 
-    def alike(self, needed: float | None, rows: list[VmRow]) -> list[list[VmRow]]:
-        """Return the VMs that are fast enough: the slow ones, the fast ones, and all of them.
+    def speed_groups(self, required_speed: float | None, rows: list[VmRow]) -> list[list[VmRow]]:
+        """Return groups of VMs that are fast enough: the slow ones, the fast ones, and all.
 
-        A gang is as slow as its slowest member, so that a fast VM is wasted on it beside a slow
-        one.
+        A gang is as slow as its slowest member, so a fast VM is wasted on it beside a slow one.
         """
-        found = [row for row in rows if self.enough(needed, row)]
-        slow = [row for row in found if self.of(row) < self._middle]
-        fast = [row for row in found if self.of(row) >= self._middle]
+        found = [row for row in rows if self.fast_enough(required_speed, row)]
+        slow = [row for row in found if self.of(row) < self._midpoint]
+        fast = [row for row in found if self.of(row) >= self._midpoint]
         return [slow, fast, found] if slow and fast else [found]
 
-    def enough(self, needed: float | None, row: VmRow) -> bool:
-        """Tell whether a VM is fast enough for a step that needs some speed."""
-        return needed is None or self.of(row) >= needed
+    def fast_enough(self, required_speed: float | None, row: VmRow) -> bool:
+        """Return whether a VM is fast enough for a step that requires some speed."""
+        return required_speed is None or self.of(row) >= required_speed
 
 
-def _cost(needed: float | None, speed: float) -> float:
-    kept = FAST_COST * speed
-    if needed is None:
-        return kept
-    short = (needed + SPAN - speed) / SPAN
-    return kept + LATE_COST * max(0.0, min(1.0, short))
+def _cost(required_speed: float | None, speed: float) -> float:
+    cost = FAST_COST * speed
+    if required_speed is None:
+        return cost
+    shortfall = (required_speed + SAFETY_SPAN - speed) / SAFETY_SPAN
+    return cost + LATE_COST * max(0.0, min(1.0, shortfall))
 
 
 def _key(row: VmRow) -> str:
--- a/tests/jobs/test_speeds.py
+++ b/tests/jobs/test_speeds.py
@@ -198,7 +198,7 @@
     run.started_at = rig.scheduler.state.now - 0.5
     speeds = Speeds(rig.scheduler.state, rig.scheduler.journal.note_runs)
     speeds.done(rig.scheduler.state.vms["w0"], task, run)
-    assert not speeds._found
+    assert not speeds._estimates
 
 
 def test_no_work_is_lost_to_the_choice() -> None:
