--- a/src/sablemount/jobs/systems/choice.py
+++ b/src/sablemount/jobs/systems/choice.py
@@ -28,7 +28,7 @@
 
 
 class Choice:
-    """Packs tasks onto the fullest VM that fits, with penalties for VMs that are worse for a step."""
+    """Packs tasks onto the fullest VM that fits, with penalties for unsuitable VMs."""
 
     def __init__(self, state: State, advice: Advice, trials: Trials, speeds: Speeds) -> None:
         self._state = state
@@ -160,9 +160,9 @@
     ) -> float:
         """Return the score of a VM with some free capacity, the lower the better.
 
-        It is the free share of the VM plus its penalties. A task that may crash its VM (``may_crash``)
-        is placed where the fewest other runs would be lost with it, so the free share counts in its
-        favour.
+        It is the free share of the VM plus its penalties. With ``may_crash``, the free share
+        counts in the VM's favour: a task that may crash its VM is placed where the fewest other
+        runs would be lost.
         """
         free_share = _leftover(free, row.info.capacity)
         score = cost + (-free_share if may_crash else free_share)
--- a/src/sablemount/jobs/systems/evacuation.py
+++ b/src/sablemount/jobs/systems/evacuation.py
@@ -1,9 +1,9 @@
-"""What runs on a VM that leaves too soon for it is stopped in time and starts elsewhere.
+"""Evacuation: runs that a VM's shutdown would interrupt are stopped in time and start elsewhere.
 
-A VM that drains tells how long it stays. When it leaves, all that runs on it dies, and that is
-noticed late. So what can't end in time is stopped before: at the last moment where a stop saves
-the work, and at once where the work is lost in any case. Of a step that bounds how many of its
-tasks may be away, they are moved a few at a time.
+A VM that drains reports how long it stays. When it shuts down, all its runs are lost, and that is
+noticed late. So a run that cannot end in time is stopped before: at the last moment where a stop
+saves its work, and at once where the work is lost in any case. Tasks of a step that bounds how many
+of them may be away are moved a few at a time.
 """
 
 from sablemount.jobs.state import State
@@ -13,43 +13,45 @@
 
 __all__ = ["Evacuation"]
 
-INTERVAL = 0.1
-"""Seconds between two judgements, small beside the 2 s of the shortest notice."""
-STOP_MARGIN = 0.3
-"""Seconds before a VM leaves, beside the time of a stop, by which a stopped run is to be over."""
-END_MARGIN = 0.1
-"""Seconds before a VM leaves by which a run must end by itself, for its end to be heard."""
-LEAST_PERCENT = 5.0
-"""Progress (percent) from which a run's own pace tells more than the expected time."""
-DOUBT = 0.4
-"""Share of its expected time that a run without progress may need: expectations are far off, and
-a run that is stopped for nothing costs as much as one that is lost."""
-WHOLE = 100.0
-MS = 1000.0
+INTERVAL_S = 0.1
+"""Interval between two checks, small beside the 2 s of the shortest notice."""
+STOP_MARGIN_S = 0.3
+"""Time before a VM shuts down, in addition to that of a stop, by which a stopped run has to be
+over."""
+END_MARGIN_S = 0.1
+"""Time before a VM shuts down by which a run has to end by itself, for its completion to be
+reported."""
+MIN_PROGRESS_PERCENT = 5.0
+"""Progress from which a run's own rate is a better estimate than the expected duration."""
+EXPECTED_TIME_SHARE = 0.4
+"""Share of its expected duration that a run without progress is assumed to take: the expectations
+are far off, and stopping a run needlessly costs as much as losing one."""
+FULL_PERCENT = 100.0
+MS_PER_S = 1000.0
 
 
 class Evacuation:
-    """Judges what runs on the VMs that have told when they leave."""
+    """Stops runs on VMs that have announced their shutdown."""
 
     def __init__(self, state: State, reconcile: Reconcile) -> None:
         self._state = state
         self._reconcile = reconcile
-        self._every = Every(INTERVAL)
+        self._timer = Every(INTERVAL_S)
 
     def run(self) -> None:
-        """Stop what is due."""
-        if not self._every.due(self._state.now):
+        """Stop the runs that have to be stopped by now."""
+        if not self._timer.due(self._state.now):
             return
         for row in self._state.vms.values():
             if row.leaves_at is not None and row.runs and not row.gone:
-                self._judge(row, row.leaves_at)
+                self._stop_runs(row, row.leaves_at)
 
-    def _judge(self, row: VmRow, leaves_at: float) -> None:
+    def _stop_runs(self, row: VmRow, leaves_at: float) -> None:
         for run, task in self._state.running_on(row):
-            if not self._due(run, task, leaves_at):
+            if not self._must_stop(run, task, leaves_at):
                 continue
             self._state.run_logger.info(
-                "run leaves a VM that leaves",
+                "stopping run before its VM shuts down",
                 extra={
                     "task": run.task,
                     "vm": row.name,
@@ -59,22 +61,22 @@
             )
             self._reconcile.stop(run)
 
-    def _due(self, run: RunRow, task: TaskRow, leaves_at: float) -> bool:
-        """Tell whether a run is to be stopped now."""
+    def _must_stop(self, run: RunRow, task: TaskRow, leaves_at: float) -> bool:
+        """Return whether a run has to be stopped now."""
         spec = task.step.spec
-        if not spec.lasting and self._ends_at(run, task) <= leaves_at - END_MARGIN:
+        if not spec.lasting and self._expected_end(run, task) <= leaves_at - END_MARGIN_S:
             return False
-        last_stop = leaves_at - self._state.settings.stop_time - STOP_MARGIN
+        last_stop = leaves_at - self._state.settings.stop_time - STOP_MARGIN_S
         if self._state.now >= last_stop:
-            # What is left there then dies with the VM.
+            # What is still running there is lost with the VM.
             return True
         if spec.may_miss:
-            # Moved a few at a time, so that the others stay at work.
+            # Tasks are moved a few at a time, so that the others stay at work.
             return self._state.may_be_stopped(task)
         return not (spec.saves or spec.lasting)
 
-    def _ends_at(self, run: RunRow, task: TaskRow) -> float:
-        """Return when a run ends, by its own progress or else by what was expected of it."""
-        if run.percent >= LEAST_PERCENT:
-            return run.started_at + (run.percent_at - run.started_at) * WHOLE / run.percent
-        return run.started_at + DOUBT * task.step.spec.expected_ms / MS
+    def _expected_end(self, run: RunRow, task: TaskRow) -> float:
+        """Return when a run ends, by its own progress or else by its expected duration."""
+        if run.percent >= MIN_PROGRESS_PERCENT:
+            return run.started_at + (run.percent_at - run.started_at) * FULL_PERCENT / run.percent
+        return run.started_at + EXPECTED_TIME_SHARE * task.step.spec.expected_ms / MS_PER_S
--- a/src/sablemount/jobs/systems/pacing.py
+++ b/src/sablemount/jobs/systems/pacing.py
@@ -1,8 +1,8 @@
-"""How fast tasks that fill may work beside tasks that serve.
+"""Throttling of best-effort runs beside latency-sensitive ones.
 
-What fills disturbs what serves on the same VM, by amounts that nobody tells. So each VM's fillers
-are slowed down by half while some serving task there is near its target, and given back speed in
-small steps while all are well below it.
+Best-effort runs slow down the latency-sensitive runs on the same VM by an unknown amount. So the
+speed of a VM's best-effort runs is halved while some latency-sensitive run there is near its
+target, and raised in small steps while all of them are well below it.
 """
 
 from sablemount.jobs.actions import PaceRun
@@ -12,46 +12,47 @@
 
 __all__ = ["Pacing"]
 
-INTERVAL = 0.55
-"""Seconds between two changes on a VM: its figures are of the last half second."""
-FIRST_PACE = 0.15
-"""Seconds after its start before which a run can't be paced."""
-NEAR_TARGET = 0.85
-"""Share of its target at which a serving task's tail is too near."""
-WELL_BELOW = 0.6
-"""Share of its target below which a tail lets fillers have some speed back."""
-WHOLE = 100
-STEP_UP = 10
-"""Percent of its speed that a filler is given back at once."""
-LEAST = 10
-"""Below this share a filler stands still."""
-UNKNOWN_SHARE = 30
-"""Assumed and ordered for a filler that another leader may have slowed down."""
+INTERVAL_S = 0.55
+"""Interval between two changes on a VM: its reported latencies cover the last half second."""
+MIN_RUN_AGE_S = 0.15
+"""Time after its start before which a run cannot be throttled."""
+HIGH_PRESSURE = 0.85
+"""Share of its target from which a run's tail latency is too near to it."""
+LOW_PRESSURE = 0.6
+"""Share of its target below which tail latency lets best-effort runs be sped up."""
+FULL_SPEED_PERCENT = 100
+SPEED_STEP_PERCENT = 10
+"""Increase of a best-effort run's speed in one change."""
+MIN_SPEED_PERCENT = 10
+"""Speed below which a best-effort run is paused instead."""
+ASSUMED_SPEED_PERCENT = 30
+"""Speed assumed of, and then requested for, a best-effort run that a previous leader may have
+throttled."""
 
 
 class Pacing:
-    """Judges each VM that runs both kinds of task."""
+    """Adjusts the speed of best-effort runs on each VM that runs both kinds of task."""
 
     def __init__(self, state: State) -> None:
         self._state = state
 
     def run(self) -> None:
-        """Judge the VMs whose last change shows in their figures."""
+        """Adjust the VMs whose latest report reflects their last change."""
         for row in self._state.vms.values():
-            if row.runs and not row.gone and row.heard_at > row.paced_at + INTERVAL:
-                self._judge(row)
+            if row.runs and not row.gone and row.heard_at > row.paced_at + INTERVAL_S:
+                self._adjust(row)
 
-    def _judge(self, row: VmRow) -> None:
-        fillers = self._fillers(row)
-        if not fillers:
+    def _adjust(self, row: VmRow) -> None:
+        best_effort_runs = self._best_effort_runs(row)
+        if not best_effort_runs:
             return
         pressure = self._pressure(row)
-        for run in fillers:
-            share = _next_share(run.share, pressure)
+        for run in best_effort_runs:
+            share = _next_speed(run.share, pressure)
             if share != run.share:
-                self._pace(row, run, share, pressure)
+                self._throttle(row, run, share, pressure)
 
-    def _pace(self, row: VmRow, run: RunRow, share: int, pressure: float | None) -> None:
+    def _throttle(self, row: VmRow, run: RunRow, share: int, pressure: float | None) -> None:
         state = self._state
         state.run_logger.info(
             "run paced",
@@ -66,24 +67,27 @@
         row.paced_at = state.now
         state.emit(PaceRun(run.vm, run.task, run.number, share))
 
-    # -- What runs ---------------------------------------------------------------------------
+    # -- Runs --------------------------------------------------------------------------------
 
-    def _fillers(self, row: VmRow) -> list[RunRow]:
-        since = self._state.now - FIRST_PACE
+    def _best_effort_runs(self, row: VmRow) -> list[RunRow]:
+        latest_start = self._state.now - MIN_RUN_AGE_S
         return [
             run
             for run, task in self._state.running_on(row)
-            if run.started_at < since and task.step.spec.fills
+            if run.started_at < latest_start and task.step.spec.fills
         ]
 
     def _pressure(self, row: VmRow) -> float | None:
-        """Return the worst tail on a VM as a share of its target; ``None`` if nothing serves."""
-        found = [
+        """Return the highest tail latency on a VM as a share of its target.
+
+        It is ``None`` if no latency-sensitive task runs there.
+        """
+        pressures = [
             run.figure / spec.target_ms
             for run in row.runs.values()
-            if (spec := self._spec(run)) is not None and _serves(spec)
+            if (spec := self._spec(run)) is not None and _is_latency_sensitive(spec)
         ]
-        return max(found, default=None)
+        return max(pressures, default=None)
 
     def _spec(self, run: RunRow) -> StepSpec | None:
         task = self._state.task(run.task)
@@ -92,26 +96,30 @@
     # -- Answers -----------------------------------------------------------------------------
 
     def failed(self, vm: str, task: str, number: int) -> None:
-        """Take that an order had no good answer: it may be in force or not."""
+        """Record that a request got no usable answer: it may or may not be in force."""
         row = self._state.vms.get(vm)
         run = None if row is None else row.runs.get((task, number))
         if run is not None:
             run.share = None
 
 
-def _serves(spec: StepSpec) -> bool:
-    """Tell whether a step's tasks serve users: only those that last do, and tell a tail."""
+def _is_latency_sensitive(spec: StepSpec) -> bool:
+    """Return whether a step's tasks are latency-sensitive.
+
+    These are long-running tasks with a latency target that are not best-effort tasks; only
+    long-running tasks report a tail latency.
+    """
     return spec.lasting and spec.target_ms > 0 and not spec.fills
 
 
-def _next_share(share: int | None, pressure: float | None) -> int:
-    """Return the share that a filler is to have under some pressure."""
+def _next_speed(share: int | None, pressure: float | None) -> int:
+    """Return the speed, in percent, that a best-effort run is to have under some pressure."""
     if pressure is None:
-        return WHOLE
-    known = UNKNOWN_SHARE if share is None else share
-    if pressure >= NEAR_TARGET:
+        return FULL_SPEED_PERCENT
+    known = ASSUMED_SPEED_PERCENT if share is None else share
+    if pressure >= HIGH_PRESSURE:
         slower = known // 2
-        return slower if slower >= LEAST else 0
-    if pressure < WELL_BELOW and share is not None:
-        return min(WHOLE, known + STEP_UP)
+        return slower if slower >= MIN_SPEED_PERCENT else 0
+    if pressure < LOW_PRESSURE and share is not None:
+        return min(FULL_SPEED_PERCENT, known + SPEED_STEP_PERCENT)
     return known
--- a/src/sablemount/jobs/systems/speeds.py
+++ b/src/sablemount/jobs/systems/speeds.py
@@ -141,10 +141,10 @@
         queue = step.job.record.terms.name
         bias = self._bias.get(queue, 0.0)
         durations = self._durations.setdefault(step.key, _StepDurations())
-        earlier_weight = CALLER_ESTIMATE_WEIGHT + durations.count
-        baseline = (CALLER_ESTIMATE_WEIGHT * bias + durations.total) / earlier_weight
+        baseline_weight = CALLER_ESTIMATE_WEIGHT + durations.count
+        baseline = (CALLER_ESTIMATE_WEIGHT * bias + durations.total) / baseline_weight
         estimate = self._estimates.setdefault(_key(vm), _Estimate())
-        self._add(estimate, baseline - duration, earlier_weight / (earlier_weight + 1.0))
+        self._add(estimate, baseline - duration, baseline_weight / (baseline_weight + 1.0))
         if estimate.weight >= TRUSTED_WEIGHT:
             self._trusted[_key(vm)] = estimate.speed
         self.error += SMOOTHING * (abs(duration - bias + estimate.speed) - self.error)
--- a/tests/jobs/test_pacing.py
+++ b/tests/jobs/test_pacing.py
@@ -4,7 +4,7 @@
 
 from sablemount.jobs.actions import PaceRun, RunReport, StartRun
 from sablemount.jobs.model import Shape, StepSpec
-from sablemount.jobs.systems.pacing import INTERVAL, UNKNOWN_SHARE, WHOLE
+from sablemount.jobs.systems.pacing import ASSUMED_SPEED_PERCENT, FULL_SPEED_PERCENT, INTERVAL_S
 from tests.jobs.rig import CORE, Rig, spec
 
 TARGET = 100.0
@@ -27,7 +27,7 @@
     def hear(self, tail_ms: float, rig: Rig | None = None) -> list[PaceRun]:
         """Let the VM tell a tail once the last change shows, and return what is ordered then."""
         rig = rig or self.rig
-        rig.clock.time += INTERVAL + 0.1
+        rig.clock.time += INTERVAL_S + 0.1
         reports = rig.running["w0"]
         reports[:] = [_with_figure(report, tail_ms) for report in reports]
         rig.hear("w0")
@@ -82,7 +82,7 @@
     serving = next(start for start in beside.rig.started() if start.task.startswith("serves"))
     beside.rig.scheduler.cancel("serves")
     beside.rig.end(serving, "stopped")
-    assert [action.percent for action in beside.hear(0.0)] == [WHOLE]
+    assert [action.percent for action in beside.hear(0.0)] == [FULL_SPEED_PERCENT]
 
 
 def test_a_later_leader_gives_its_own_share_first() -> None:
@@ -91,7 +91,7 @@
     later = beside.rig.successor()
     later.hear("w0")
     ordered = beside.hear(0.7 * TARGET, later)
-    assert [action.percent for action in ordered] == [UNKNOWN_SHARE]
+    assert [action.percent for action in ordered] == [ASSUMED_SPEED_PERCENT]
 
 
 def test_an_order_without_an_answer_is_given_again() -> None:
