--- a/src/sablemount/jobs/systems/advice.py
+++ b/src/sablemount/jobs/systems/advice.py
@@ -11,7 +11,7 @@
 
 from sablemount.jobs.actions import AskAdvice
 from sablemount.jobs.state import State
-from sablemount.jobs.systems.all_vms import Every
+from sablemount.jobs.systems.every import Every
 from sablemount.jobs.tables import NEVER, AdviceRow, StepRow, Ticket, VmRow
 
 __all__ = ["Advice"]
@@ -172,9 +172,9 @@
         if not slot.share:
             return
         for vm in slot.vms:
-            left = self._demand_in_flight.get(vm, 0.0) + sign * slot.share
-            if left > MIN_DEMAND:
-                self._demand_in_flight[vm] = left
+            demand = self._demand_in_flight.get(vm, 0.0) + sign * slot.share
+            if demand > MIN_DEMAND:
+                self._demand_in_flight[vm] = demand
             else:
                 self._demand_in_flight.pop(vm, None)
         if sign < 0:
