--- a/tests/jobs/test_advice.py
+++ b/tests/jobs/test_advice.py
@@ -1,4 +1,4 @@
-"""Questions about many VMs are divided over free lanes, and each answer counts by itself."""
+"""Tests dividing a request for advice over free call slots, and handling each answer by itself."""
 
 from sablemount.jobs.actions import AskAdvice
 from sablemount.jobs.model import AdviceTerms, Shape, StepSpec
@@ -9,12 +9,12 @@
 HALF = Shape(8_000, 1_000)
 
 
-def _asked(
-    terms: AdviceTerms, lanes: int, vms: int = 60, tasks: int = 16
+def _request(
+    terms: AdviceTerms, slots: int, vms: int = 60, tasks: int = 16
 ) -> tuple[Rig, list[AskAdvice]]:
     advised = queue("q", advice=terms)
     rig = Rig(vms=vms, queues=(advised,))
-    rig.scheduler.advice.set_lanes({f"l{number}" for number in range(lanes)})
+    rig.scheduler.advice.set_lanes({f"l{number}" for number in range(slots)})
     rig.accept("wide", spec(StepSpec(tasks, HALF, expected_ms=4000.0, gang=True)), advised)
     rig.tick()
     return rig, rig.asked()
@@ -26,8 +26,8 @@
     rig.tick()
 
 
-def test_a_long_question_is_divided_over_free_lanes() -> None:
-    _, calls = _asked(SLOW, lanes=20)
+def test_a_slow_request_is_divided_over_free_call_slots() -> None:
+    _, calls = _request(SLOW, slots=20)
     named = [vm for call in calls for vm in call.vms]
     assert len(calls) == 3
     assert len({call.lane for call in calls}) == 3
@@ -36,67 +36,67 @@
     assert max(call.cost for call in calls) < 0.6
 
 
-def test_few_lanes_and_short_questions_are_not_divided() -> None:
-    assert len(_asked(SLOW, lanes=3)[1]) == 1
-    assert len(_asked(SLOW, lanes=20, vms=20)[1]) == 1
+def test_a_request_is_not_divided_if_call_slots_are_few_or_it_is_short() -> None:
+    assert len(_request(SLOW, slots=3)[1]) == 1
+    assert len(_request(SLOW, slots=20, vms=20)[1]) == 1
 
 
-def test_no_more_vms_are_named_in_a_call_than_it_takes() -> None:
-    _, calls = _asked(QUICK, lanes=2, vms=130, tasks=33)
+def test_a_call_names_no_more_vms_than_the_maximum() -> None:
+    _, calls = _request(QUICK, slots=2, vms=130, tasks=33)
     assert [len(call.vms) for call in calls] == [100]
 
 
 def test_a_gang_starts_as_soon_as_the_answers_so_far_have_room_for_it() -> None:
-    rig, calls = _asked(SLOW, lanes=20, tasks=8)
+    rig, calls = _request(SLOW, slots=20, tasks=8)
     _answer(rig, calls[0], good=2)
     assert rig.started() == []
     _answer(rig, calls[1], good=2)
     assert len(rig.started()) == 8
 
 
-def test_a_part_that_fails_is_asked_for_again_and_the_others_count() -> None:
-    rig, calls = _asked(SLOW, lanes=20)
+def test_the_part_of_a_failed_call_is_requested_again_and_the_others_count() -> None:
+    rig, calls = _request(SLOW, slots=20)
     rig.scheduler.advice.failed(calls[0].lane, calls[0].step)
     _answer(rig, calls[1], good=1)
     _answer(rig, calls[2], good=1)
     rig.wait(0.5)
-    again = [call for call in rig.asked() if call not in calls]
-    assert sorted(vm for call in again for vm in call.vms) == sorted(calls[0].vms)
+    repeated = [call for call in rig.asked() if call not in calls]
+    assert sorted(vm for call in repeated for vm in call.vms) == sorted(calls[0].vms)
 
 
-def test_as_many_vms_are_named_as_a_step_is_likely_to_need_and_then_the_others() -> None:
-    rig, calls = _asked(QUICK, lanes=20, vms=60, tasks=4)
+def test_a_request_names_as_many_vms_as_a_step_is_likely_to_need_and_the_next_the_others() -> None:
+    rig, calls = _request(QUICK, slots=20, vms=60, tasks=4)
     (call,) = calls
     assert len(call.vms) == 30
     _answer(rig, call, good=1)
-    (again,) = [other for other in rig.asked() if other is not call]
-    assert not set(call.vms) & set(again.vms)
+    (repeated,) = [other for other in rig.asked() if other is not call]
+    assert not set(call.vms) & set(repeated.vms)
 
 
-def test_long_questions_name_all_vms_at_once() -> None:
-    _, calls = _asked(SLOW, lanes=40, vms=200, tasks=2)
+def test_slow_requests_name_all_vms_at_once() -> None:
+    _, calls = _request(SLOW, slots=40, vms=200, tasks=2)
     assert sum(len(call.vms) for call in calls) == 200
 
 
-def test_more_vms_are_named_for_a_queue_of_which_few_vms_may_run_steps() -> None:
-    rig, calls = _asked(QUICK, lanes=20, vms=200, tasks=16)
+def test_requests_name_more_vms_if_few_vms_may_run_the_steps_of_a_queue() -> None:
+    rig, calls = _request(QUICK, slots=20, vms=200, tasks=16)
     assert sum(len(call.vms) for call in calls) == 64
     for call in calls:
         _answer(rig, call, good=0)
-    again = [call for call in rig.asked() if call not in calls]
-    assert sum(len(call.vms) for call in again) > 70
+    repeated = [call for call in rig.asked() if call not in calls]
+    assert sum(len(call.vms) for call in repeated) > 70
 
 
-def test_the_ticket_of_a_life_that_is_over_is_not_kept() -> None:
-    """Past its time, it had the tickets of all other VMs renewed again and again."""
-    rig, calls = _asked(SLOW, lanes=20)
+def test_the_ticket_of_a_terminated_vm_is_not_kept() -> None:
+    """A terminated VM's expired ticket caused all other tickets to be renewed repeatedly."""
+    rig, calls = _request(SLOW, slots=20)
     for call in calls:
         _answer(rig, call, 2)
     step = rig.scheduler.state.open_steps["wide.0.0"]
     assert step.advice is not None
-    over = next(iter(step.advice.good))
-    rig.scheduler.vms.died(over)
+    terminated = next(iter(step.advice.good))
+    rig.scheduler.vms.died(terminated)
     for _ in range(4):
         rig.tick(0.3)
     assert step.advice.good
-    assert over not in step.advice.good
+    assert terminated not in step.advice.good
--- a/tests/jobs/test_caps.py
+++ b/tests/jobs/test_caps.py
@@ -1,4 +1,4 @@
-"""An organisation's cap holds at every start, whatever else is going on."""
+"""Tests that every start stays within its organisation's cap."""
 
 import msgspec
 import pytest
@@ -18,13 +18,13 @@
 FOUR = Shape(4_000, 1_000)
 
 
-def _rig(cores: int, vms: int = 4, queues: tuple[Queue, ...] = ()) -> Rig:
+def _capped_rig(cores: int, vms: int = 4, queues: tuple[Queue, ...] = ()) -> Rig:
     mine = Organisation(MINE, cap=Shape(cores=cores))
     return Rig(vms, queues=queues, organisations=(mine, Organisation(OTHER)))
 
 
-def _cap(rig: Rig, cores: int) -> None:
-    """Publish another cap."""
+def _publish_cap(rig: Rig, cores: int) -> None:
+    """Publish a configuration with another cap."""
     mine = Organisation(MINE, cap=Shape(cores=cores))
     rig.configuration = msgspec.structs.replace(
         rig.configuration,
@@ -35,14 +35,14 @@
 
 
 def test_no_more_starts_than_the_cap_has_room_for() -> None:
-    rig = _rig(10_000)
+    rig = _capped_rig(10_000)
     rig.accept("job", spec(StepSpec(9, FOUR)), organisation=MINE)
     rig.tick()
     assert len(rig.started()) == 2
 
 
-def test_another_organisation_goes_on() -> None:
-    rig = _rig(4_000)
+def test_another_organisation_is_not_limited() -> None:
+    rig = _capped_rig(4_000)
     rig.accept("mine", spec(StepSpec(3, FOUR)), organisation=MINE)
     rig.accept("other", spec(StepSpec(3, FOUR)), organisation=OTHER)
     rig.tick()
@@ -51,8 +51,8 @@
     )
 
 
-def test_what_ends_makes_room_for_the_next() -> None:
-    rig = _rig(4_000)
+def test_a_completion_lets_the_next_task_start() -> None:
+    rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.tick()
     rig.end(rig.started()[0], "done")
@@ -64,7 +64,7 @@
 
 
 def test_a_run_counts_until_its_stop_is_certain() -> None:
-    rig = _rig(4_000)
+    rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(1, FOUR)), organisation=MINE)
     rig.tick()
     first = rig.started()[0]
@@ -80,8 +80,8 @@
     assert len(rig.started()) == 2
 
 
-def test_a_start_without_an_answer_counts_until_its_vm_shows_that_it_is_not_there() -> None:
-    rig = _rig(4_000)
+def test_an_unanswered_start_counts_until_its_vm_reports_without_it() -> None:
+    rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.tick()
     rig.wait(1.0)
@@ -90,8 +90,8 @@
     assert len(rig.started()) == 2
 
 
-def test_a_refused_start_counts_no_more() -> None:
-    rig = _rig(4_000)
+def test_a_refused_start_no_longer_counts() -> None:
+    rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.tick()
     first = rig.started()[0]
@@ -100,18 +100,18 @@
     assert len(rig.started()) == 2
 
 
-def test_the_cores_of_what_fills_count_for_the_cap_and_not_for_the_vm() -> None:
-    rig = _rig(8_000, vms=1)
+def test_the_cores_of_best_effort_runs_count_for_the_cap_and_not_for_the_vm() -> None:
+    rig = _capped_rig(8_000, vms=1)
     rig.accept("job", spec(StepSpec(9, FOUR, fills=True, lasting=True)), organisation=MINE)
     rig.tick()
     assert len(rig.started()) == 2
 
 
-# -- After a change of leader ----------------------------------------------------------------
+# -- Change of leader ------------------------------------------------------------------------
 
 
 def test_a_later_leader_counts_what_already_runs() -> None:
-    rig = _rig(8_000)
+    rig = _capped_rig(8_000)
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.tick()
     for start in rig.started():
@@ -123,13 +123,13 @@
     assert later.started() == []
 
 
-def test_a_later_leader_starts_nothing_beside_what_it_may_not_see() -> None:
-    rig = _rig(20_000)
+def test_a_later_leader_allows_for_runs_on_vms_that_have_not_reported() -> None:
+    rig = _capped_rig(20_000)
     later = rig.successor()
     later.hear("w0")
     later.hear("w1")
     later.hear("w2")
-    # The fourth VM may run 16 cores; with another 4, the cap of 20 is full.
+    # The fourth VM may run 16 cores, which with another 4 fill the cap of 20.
     later.accept("next", spec(StepSpec(3, FOUR)), organisation=MINE)
     later.tick()
     assert len(later.started()) == 1
@@ -139,7 +139,7 @@
 
 
 def test_a_vm_of_unknown_size_that_may_run_something_counts_as_the_largest() -> None:
-    rig = _rig(20_000)
+    rig = _capped_rig(20_000)
     later = Rig(0, 2, organisations=rig.configuration.organisations)
     later.scheduler.load([Record(key, value) for key, value in rig.store.items()])
     for name in ("w0", "w1", "w2"):
@@ -151,7 +151,7 @@
 
 
 def test_a_run_of_a_forgotten_job_counts_with_all_of_its_vm() -> None:
-    rig = _rig(17_000, vms=2)
+    rig = _capped_rig(17_000, vms=2)
     rig.accept("gone", spec(StepSpec(1, CORE)), organisation=MINE)
     rig.tick()
     rig.run(rig.started()[0])
@@ -164,8 +164,8 @@
     assert len(later.started()) == 1
 
 
-def test_a_lost_vms_runs_count_no_more_once_they_are_over() -> None:
-    rig = _rig(4_000)
+def test_runs_of_a_lost_vm_no_longer_count_once_they_have_ended() -> None:
+    rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(1, FOUR)), organisation=MINE)
     rig.tick()
     rig.scheduler.vms.died(rig.started()[0].vm)
@@ -173,14 +173,14 @@
     assert len(rig.started()) == 2
 
 
-# -- Changes of caps -------------------------------------------------------------------------
+# -- Changes of the cap ----------------------------------------------------------------------
 
 
-def test_a_cap_that_falls_below_what_runs_lets_it_end() -> None:
-    rig = _rig(8_000)
+def test_runs_beyond_a_lowered_cap_are_not_stopped() -> None:
+    rig = _capped_rig(8_000)
     rig.accept("job", spec(StepSpec(3, FOUR)), organisation=MINE)
     rig.tick()
-    _cap(rig, 4_000)
+    _publish_cap(rig, 4_000)
     rig.end(rig.started()[0], "done")
     rig.hear_all()
     rig.tick()
@@ -192,17 +192,17 @@
     assert len(rig.started()) == 3
 
 
-def test_a_cap_that_rises_applies_to_what_waits() -> None:
-    rig = _rig(4_000)
+def test_a_raised_cap_applies_to_waiting_tasks() -> None:
+    rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(3, FOUR)), organisation=MINE)
     rig.tick()
-    _cap(rig, 12_000)
+    _publish_cap(rig, 12_000)
     rig.tick()
     assert len(rig.started()) == 3
 
 
-def test_an_organisation_that_is_named_no_more_keeps_its_cap() -> None:
-    rig = _rig(4_000)
+def test_an_organisation_removed_from_the_configuration_keeps_its_cap() -> None:
+    rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.configuration = msgspec.structs.replace(rig.configuration, version=7, organisations=())
     rig.scheduler.configured(rig.configuration)
@@ -210,14 +210,14 @@
     assert len(rig.started()) == 1
 
 
-# -- Gangs and urgent work -------------------------------------------------------------------
+# -- Gangs and more urgent jobs --------------------------------------------------------------
 
 URGENT = queue("urgent", 0)
 CHEAP = queue("cheap", 2)
 
 
 def test_a_gang_starts_whole_or_not_at_all_under_its_cap() -> None:
-    rig = _rig(12_000)
+    rig = _capped_rig(12_000)
     rig.accept("small", spec(StepSpec(1, CORE)), organisation=MINE)
     rig.tick()
     rig.accept("gang", spec(StepSpec(3, FOUR, gang=True)), organisation=MINE)
@@ -229,8 +229,8 @@
     assert len(rig.started()) == 4
 
 
-def test_lesser_work_leaves_what_ends_to_a_gang_of_its_organisation() -> None:
-    rig = _rig(12_000, queues=(URGENT, CHEAP))
+def test_less_urgent_jobs_leave_freed_capacity_to_a_gang_of_their_organisation() -> None:
+    rig = _capped_rig(12_000, queues=(URGENT, CHEAP))
     rig.accept("first", spec(StepSpec(3, FOUR)), CHEAP, MINE)
     rig.tick()
     rig.accept("gang", spec(StepSpec(3, FOUR, gang=True)), URGENT, MINE)
@@ -244,7 +244,7 @@
 
 
 def test_a_gang_wider_than_half_of_its_cap_does_not_idle_it() -> None:
-    rig = _rig(16_000, queues=(URGENT, CHEAP))
+    rig = _capped_rig(16_000, queues=(URGENT, CHEAP))
     rig.accept("first", spec(StepSpec(1, FOUR)), CHEAP, MINE)
     rig.tick()
     rig.run(rig.started()[0])
@@ -256,19 +256,19 @@
     assert [start.task for start in rig.started()] == ["first.0.0.0", "second.0.0.0"]
 
 
-def test_a_gang_that_a_cap_does_not_hold_any_more_keeps_nothing_from_others() -> None:
-    rig = _rig(20_000, queues=(URGENT, CHEAP))
+def test_a_gang_that_no_longer_fits_its_cap_reserves_nothing() -> None:
+    rig = _capped_rig(20_000, queues=(URGENT, CHEAP))
     rig.accept("first", spec(StepSpec(2, FOUR)), CHEAP, MINE)
     rig.tick()
     rig.accept("gang", spec(StepSpec(4, FOUR, gang=True)), URGENT, MINE)
-    _cap(rig, 12_000)
+    _publish_cap(rig, 12_000)
     rig.accept("second", spec(StepSpec(1, FOUR)), CHEAP, MINE)
     rig.tick()
     assert [start.task for start in rig.started()][2:] == ["second.0.0.0"]
 
 
-def test_urgent_work_at_its_cap_makes_no_room_and_holds_no_vms() -> None:
-    rig = _rig(4_000, vms=2, queues=(URGENT, CHEAP))
+def test_an_urgent_job_at_its_cap_preempts_nothing_and_reserves_no_vms() -> None:
+    rig = _capped_rig(4_000, vms=2, queues=(URGENT, CHEAP))
     rig.accept("mine", spec(StepSpec(1, FOUR)), URGENT, MINE)
     rig.tick()
     rig.accept("others", spec(StepSpec(8, FOUR, expected_ms=60_000.0)), CHEAP, OTHER)
@@ -282,7 +282,7 @@
     assert all(row.kept_until < rig.clock.time for row in rows)
 
 
-# -- What no cap can hold --------------------------------------------------------------------
+# -- Jobs beyond the cap ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -294,7 +294,9 @@
         (StepSpec(3, Shape(2_000), gang=True), "$.steps[1].count"),
     ],
 )
-def test_what_a_cap_can_never_hold_is_told_with_its_field(step: StepSpec, path: str) -> None:
+def test_a_job_that_never_fits_the_cap_is_refused_with_the_path_of_its_field(
+    step: StepSpec, path: str
+) -> None:
     fault = cap_fault(spec(StepSpec(9, CORE), step), Shape(4_000, 2_000, 1))
     assert fault is not None
     assert fault.path == path
@@ -322,14 +324,16 @@
         return
 
     def fits(count: int) -> bool:
-        known = taken.plus(shape, count)
+        known_use = taken.plus(shape, count)
         allowed = Shape(*(int(size * (1 + overage)) for size in msgspec.structs.astuple(cap)))
         return all(
-            not limit or not need or (now <= limit and (not hid or now + hid <= most))
-            for need, limit, now, hid, most in zip(
+            not limit
+            or not need
+            or (used <= limit and (not unreported_use or used + unreported_use <= allowed_use))
+            for need, limit, used, unreported_use, allowed_use in zip(
                 msgspec.structs.astuple(shape),
                 msgspec.structs.astuple(cap),
-                msgspec.structs.astuple(known),
+                msgspec.structs.astuple(known_use),
                 msgspec.structs.astuple(unseen),
                 msgspec.structs.astuple(allowed),
                 strict=True,
@@ -341,7 +345,7 @@
 
 
 def test_a_run_that_is_found_counts_for_the_organisation_of_its_job() -> None:
-    rig = _rig(8_000)
+    rig = _capped_rig(8_000)
     rig.accept("job", spec(StepSpec(3, FOUR)), organisation=MINE)
     rig.running["w3"] = [RunReport("job.0.0.2", 7)]
     rig.hear("w3")
@@ -349,15 +353,15 @@
     assert len(rig.started()) == 1
 
 
-def test_figures_by_organisation_are_bounded() -> None:
+def test_the_number_of_metrics_by_organisation_is_bounded() -> None:
     many = tuple(Organisation(f"o{number:03d}", cap=Shape(cores=2_000)) for number in range(200))
     rig = Rig(40, organisations=many)
     for organisation in many:
         rig.accept(f"j{organisation.name}", spec(StepSpec(3, CORE)), organisation=organisation.name)
     rig.tick()
-    figures = organisation_gauges(rig.scheduler.state)
-    assert len(figures) <= 3 * MOST_NAMED + 2
-    assert figures["organisation_cores/o000"] == 2.0
-    assert figures["organisation_cap/o000"] == 2.0
-    assert figures["organisation_waiting/o000"] == 1.0
-    assert figures["organisation_cores/others"] == 2.0 * (200 - MOST_NAMED)
+    gauges = organisation_gauges(rig.scheduler.state)
+    assert len(gauges) <= 3 * MOST_NAMED + 2
+    assert gauges["organisation_cores/o000"] == 2.0
+    assert gauges["organisation_cap/o000"] == 2.0
+    assert gauges["organisation_waiting/o000"] == 1.0
+    assert gauges["organisation_cores/others"] == 2.0 * (200 - MOST_NAMED)
--- a/tests/jobs/test_caps_unknown.py
+++ b/tests/jobs/test_caps_unknown.py
@@ -1,7 +1,7 @@
-"""A new leader that has not read the configuration yet does not know its organisations' caps.
+"""Tests that a new leader assumes no caps before it has read the configuration.
 
-A process that had just been restarted led, the answers to its reads of the configuration were
-late, and it started 69,500 cores of an organisation whose highest cap in force was 60,000.
+A process that had just restarted became leader while the answers to its reads of the configuration
+were late, and it started 69,500 cores of an organisation whose highest cap in force was 60,000.
 """
 
 from sablemount.control.clock import LoopClock
