--- a/tests/jobs/test_held_back.py
+++ b/tests/jobs/test_held_back.py
@@ -1,4 +1,4 @@
-"""What is told of a step that waits."""
+"""Tests the log lines about waiting steps."""
 
 import logging
 
@@ -13,33 +13,33 @@
 )
 from tests.jobs.rig import CAPACITY, CORE, Rig, queue, spec
 
-ROUND = 0.1
-WHOLE = Shape(CAPACITY.cores, CAPACITY.memory)
+ROUND_S = 0.1
+WHOLE_VM = Shape(CAPACITY.cores, CAPACITY.memory)
 
 
-def _busy(rig: Rig, seconds: float) -> None:
-    """Let some seconds go by in which room comes and goes all the time."""
-    for _ in range(round(seconds / ROUND)):
+def _advance_busy(rig: Rig, seconds: float) -> None:
+    """Advance the time while capacity is freed in every round."""
+    for _ in range(round(seconds / ROUND_S)):
         rig.scheduler.state.freed += 1
-        rig.wait(ROUND)
+        rig.wait(ROUND_S)
 
 
-def _told(caplog: pytest.LogCaptureFixture) -> list[dict[str, object]]:
+def _wait_lines(caplog: pytest.LogCaptureFixture) -> list[dict[str, object]]:
     return [vars(line) for line in caplog.records if line.getMessage() == "step is waiting"]
 
 
-def test_a_step_that_waits_in_a_busy_cell_is_told_of_with_what_holds_it_back(
+def test_a_step_that_waits_in_a_busy_cell_is_logged_with_its_blocking_reasons(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
     rig = Rig(vms=3)
-    rig.accept("full", spec(StepSpec(1, WHOLE)))
+    rig.accept("full", spec(StepSpec(1, WHOLE_VM)))
     rig.run_all()
     rig.scheduler.state.vms["w1"].trial = "other"
     rig.scheduler.state.vms["w2"].refused_since = rig.clock.time + 100.0
     rig.accept("late", spec(StepSpec(1, CORE)))
-    _busy(rig, LOG_WAIT_AFTER_S + 2 * LOG_WAIT_INTERVAL_S)
-    (line,) = [line for line in _told(caplog) if line["step"] == "late.0.0"]
+    _advance_busy(rig, LOG_WAIT_AFTER_S + 2 * LOG_WAIT_INTERVAL_S)
+    (line,) = [line for line in _wait_lines(caplog) if line["step"] == "late.0.0"]
     vms = rig.scheduler.state.vms
     full = next(name for name, row in vms.items() if row.runs)
     expected = {
@@ -51,28 +51,30 @@
     assert line["held"] == expected
 
 
-def test_what_nobody_asks_for_is_told_of(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_step_without_advice_is_logged_with_the_wait_for_a_call_slot(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     caplog.set_level(logging.INFO)
     advised = queue("q", advice=AdviceTerms(20.0, 0.3, 2000.0))
     rig = Rig(vms=2, queues=(advised,))
     rig.accept("late", spec(StepSpec(1, CORE)), advised)
-    _busy(rig, LOG_WAIT_AFTER_S + 2 * LOG_WAIT_INTERVAL_S)
-    (line,) = _told(caplog)
+    _advance_busy(rig, LOG_WAIT_AFTER_S + 2 * LOG_WAIT_INTERVAL_S)
+    (line,) = _wait_lines(caplog)
     assert line["held"] == {BlockingReason.NO_ADVICE.value: 2}
     assert line["unasked_for"] == pytest.approx(LOG_WAIT_AFTER_S, abs=2 * LOG_WAIT_INTERVAL_S)
 
 
-def test_few_steps_are_told_of_at_once_and_each_has_its_turn(
+def test_few_steps_are_logged_at_once_and_each_in_turn(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
     rig = Rig(vms=1)
-    rig.accept("full", spec(StepSpec(1, WHOLE)))
+    rig.accept("full", spec(StepSpec(1, WHOLE_VM)))
     rig.run_all()
     names = [f"late{number}" for number in range(3 * MAX_LOGGED_STEPS)]
     for name in names:
         rig.accept(name, spec(StepSpec(1, CORE)))
-    _busy(rig, LOG_WAIT_AFTER_S + LOG_WAIT_INTERVAL_S)
-    assert len(_told(caplog)) <= 2 * MAX_LOGGED_STEPS
-    _busy(rig, 3 * LOG_WAIT_INTERVAL_S)
-    assert {line["step"] for line in _told(caplog)} == {f"{name}.0.0" for name in names}
+    _advance_busy(rig, LOG_WAIT_AFTER_S + LOG_WAIT_INTERVAL_S)
+    assert len(_wait_lines(caplog)) <= 2 * MAX_LOGGED_STEPS
+    _advance_busy(rig, 3 * LOG_WAIT_INTERVAL_S)
+    assert {line["step"] for line in _wait_lines(caplog)} == {f"{name}.0.0" for name in names}
--- a/tests/jobs/test_making_room.py
+++ b/tests/jobs/test_making_room.py
@@ -1,4 +1,4 @@
-"""Room is made by the slack of what waits, and no more of it than is needed."""
+"""Tests that preemption goes by the slack of the waiting steps and stops no more than is needed."""
 
 from sablemount.jobs.actions import StopRun
 from sablemount.jobs.model import Queue, QueueTerms, Shape, StepSpec
@@ -11,12 +11,12 @@
 GANGS = queue("gangs", 1)
 CHEAP = queue("slow", 2)
 QUEUES = (URGENT, GANGS, CHEAP)
-TIGHT = Queue(URGENT.host, URGENT.prefix, QueueTerms("fast", "pool", 0, 3, 1.1, 100.0))
-"""Urgent work without slack, which others yield to at once."""
+NO_SLACK = Queue(URGENT.host, URGENT.prefix, QueueTerms("fast", "pool", 0, 3, 1.1, 100.0))
+"""Urgent jobs without slack, for which runs are stopped at once."""
 
 
-def _full() -> Rig:
-    """Return a rig whose VMs are full of cheap work."""
+def _full_rig() -> Rig:
+    """Return a rig whose VMs are full of low-priority runs."""
     rig = Rig(vms=2, queues=QUEUES)
     rig.scheduler.health.run = lambda: None  # type: ignore[method-assign]
     rig.accept("batch", spec(StepSpec(4, HALF, expected_ms=5000.0, saves=True)), CHEAP)
@@ -25,7 +25,7 @@
     return rig
 
 
-def test_the_slack_is_what_the_objective_leaves_beyond_the_chain() -> None:
+def test_the_slack_is_the_time_to_the_objective_beyond_the_expected_duration() -> None:
     rig = Rig(vms=2, queues=QUEUES)
     first = StepSpec(1, HALF, expected_ms=2000.0)
     job = rig.accept("a", spec(first, StepSpec(1, HALF, expected_ms=1000.0, after=(0,))), URGENT)
@@ -35,8 +35,8 @@
     assert round(urgency.slack(job.steps[(0, 0)]), 6) == 4.0
 
 
-def test_work_without_slack_has_room_made_for_it_at_once() -> None:
-    rig = _full()
+def test_runs_are_stopped_at_once_for_a_step_without_slack() -> None:
+    rig = _full_rig()
     terms = QueueTerms("fast", "pool", 0, 3, stretch=1.1, target_latency_ms=100.0)
     tight = Queue(URGENT.host, URGENT.prefix, terms)
     rig.accept("quote", spec(StepSpec(1, HALF, expected_ms=3000.0)), tight)
@@ -44,8 +44,8 @@
     assert len(rig.stopped()) == 1
 
 
-def test_no_room_is_made_while_the_store_is_silent() -> None:
-    rig = _full()
+def test_nothing_is_preempted_while_the_store_does_not_answer() -> None:
+    rig = _full_rig()
     rig.accept("quote", spec(StepSpec(1, HALF, expected_ms=3000.0)), URGENT)
     rig.clock.time += 1.0
     rig.hear_all()
@@ -56,7 +56,7 @@
     assert len(rig.stopped()) == 1
 
 
-def test_a_victim_that_turns_out_needless_is_spared() -> None:
+def test_a_run_that_need_not_be_stopped_is_left_running() -> None:
     rig = Rig(vms=1, queues=QUEUES)
     rig.scheduler.health.run = lambda: None  # type: ignore[method-assign]
     small, large = Shape(2_000, 1_000), Shape(12_000, 1_000)
@@ -71,20 +71,20 @@
     assert {stop.task.partition(".")[0] for stop in rig.stopped()} == {"large"}
 
 
-def _beside_young_suspects(rig: Rig) -> None:
-    """Fill one VM with cheap work, and have another suspect's first moments on the other."""
+def _start_beside_new_suspect(rig: Rig) -> None:
+    """Fill one VM with low-priority runs, and start another job's suspect on the other."""
     rig.scheduler.health.run = lambda: None  # type: ignore[method-assign]
     rig.accept("batch", spec(StepSpec(2, HALF, expected_ms=5000.0, saves=True)), CHEAP)
     rig.tick()
     rig.hold_all()
     suspect = rig.accept("other", spec(StepSpec(1, HALF)), URGENT)
-    _blame(rig, suspect)
+    _suspect(rig, suspect)
     rig.tick()
     assert [start.vm for start in rig.started() if start.task == "other.0.0.0"] == ["w1"]
 
 
-def _blame(rig: Rig, job: JobRow) -> None:
-    """Have one VM crash under a job's tasks."""
+def _suspect(rig: Rig, job: JobRow) -> None:
+    """Make a job's tasks suspects, as after the crash of a VM that they ran on."""
     job.watched = True
     rig.scheduler.state.suspected[job.name] = job
     for step in job.steps.values():
@@ -92,12 +92,12 @@
             task.crashes = ["gone"]
 
 
-def test_no_room_is_kept_where_what_waits_may_not_start_beside_a_suspect() -> None:
-    """Calm work was kept from room that the step for which it was kept could not use."""
+def test_no_capacity_is_reserved_where_a_step_may_not_start_beside_a_suspect() -> None:
+    """Capacity was reserved for a step that could not use it, and withheld from other jobs."""
     rig = Rig(vms=2, queues=QUEUES)
-    _beside_young_suspects(rig)
-    waits = rig.accept("waits", spec(StepSpec(4, HALF, expected_ms=9000.0)), TIGHT)
-    _blame(rig, waits)
+    _start_beside_new_suspect(rig)
+    waits = rig.accept("waits", spec(StepSpec(4, HALF, expected_ms=9000.0)), NO_SLACK)
+    _suspect(rig, waits)
     for _ in range(5):
         rig.tick(0.05)
     vms = rig.scheduler.state.vms
@@ -107,16 +107,16 @@
     assert [run.vm for task in calm.steps[(0, 0)].tasks for run in task.runs] == ["w1"]
 
 
-def test_cheaper_work_does_not_yield_to_what_may_not_start_there() -> None:
+def test_runs_are_not_stopped_for_a_step_that_may_not_start_there() -> None:
     rig = Rig(vms=1, queues=QUEUES)
     rig.scheduler.health.run = lambda: None  # type: ignore[method-assign]
     rig.accept("batch", spec(StepSpec(1, HALF, expected_ms=5000.0, saves=True)), CHEAP)
     rig.tick()
     rig.hold_all()
-    _blame(rig, rig.accept("other", spec(StepSpec(1, HALF)), URGENT))
+    _suspect(rig, rig.accept("other", spec(StepSpec(1, HALF)), URGENT))
     rig.tick()
-    waits = rig.accept("waits", spec(StepSpec(2, HALF, expected_ms=9000.0)), TIGHT)
-    _blame(rig, waits)
+    waits = rig.accept("waits", spec(StepSpec(2, HALF, expected_ms=9000.0)), NO_SLACK)
+    _suspect(rig, waits)
     for _ in range(5):
         rig.tick(0.05)
     assert not rig.stopped()
--- a/tests/jobs/test_pacing.py
+++ b/tests/jobs/test_pacing.py
@@ -1,4 +1,4 @@
-"""Tasks that fill are slowed down while a task that serves beside them is near its target."""
+"""Tests throttling best-effort runs while a latency-sensitive run nearby nears its target."""
 
 import msgspec
 
@@ -7,115 +7,117 @@
 from sablemount.jobs.systems.pacing import ASSUMED_SPEED_PERCENT, FULL_SPEED_PERCENT, INTERVAL_S
 from tests.jobs.rig import CORE, Rig, spec
 
-TARGET = 100.0
-SERVES = StepSpec(1, Shape(4_000, 1_000), lasting=True, target_ms=TARGET)
-FILLS = StepSpec(1, CORE, lasting=True, fills=True)
+TARGET_MS = 100.0
+LATENCY_SENSITIVE = StepSpec(1, Shape(4_000, 1_000), lasting=True, target_ms=TARGET_MS)
+BEST_EFFORT = StepSpec(1, CORE, lasting=True, fills=True)
 
 
-class _Beside:
-    """One VM on which one task serves and one fills."""
+class _SharedVm:
+    """A VM that runs one latency-sensitive task and one best-effort task."""
 
     def __init__(self) -> None:
         self.rig = Rig(vms=1)
-        self.rig.accept("serves", spec(SERVES))
-        self.rig.accept("fills", spec(FILLS))
+        self.rig.accept("serves", spec(LATENCY_SENSITIVE))
+        self.rig.accept("fills", spec(BEST_EFFORT))
         self.rig.tick()
         for start in self.rig.started():
             self.rig.run(start)
-        self.hear(0.3 * TARGET)
+        self.report_tail(0.3 * TARGET_MS)
 
-    def hear(self, tail_ms: float, rig: Rig | None = None) -> list[PaceRun]:
-        """Let the VM tell a tail once the last change shows, and return what is ordered then."""
+    def report_tail(self, tail_ms: float, rig: Rig | None = None) -> list[PaceRun]:
+        """Report a tail latency once the last change shows; return the requests to throttle."""
         rig = rig or self.rig
         rig.clock.time += INTERVAL_S + 0.1
         reports = rig.running["w0"]
-        reports[:] = [_with_figure(report, tail_ms) for report in reports]
+        reports[:] = [_with_tail(report, tail_ms) for report in reports]
         rig.hear("w0")
         return [action for action in rig.tick() if isinstance(action, PaceRun)]
 
 
-def _with_figure(report: RunReport, tail_ms: float) -> RunReport:
+def _with_tail(report: RunReport, tail_ms: float) -> RunReport:
     return RunReport(report.task, report.run, report.saved, report.percent, tail_ms)
 
 
-def test_a_filler_works_at_full_speed_while_the_tail_is_short() -> None:
-    beside = _Beside()
-    assert beside.hear(0.3 * TARGET) == []
+def test_a_best_effort_run_has_full_speed_while_the_tail_is_short() -> None:
+    shared = _SharedVm()
+    assert shared.report_tail(0.3 * TARGET_MS) == []
 
 
-def test_a_filler_is_slowed_down_until_it_stands_still_while_the_tail_is_too_long() -> None:
-    beside = _Beside()
+def test_a_best_effort_run_is_throttled_until_it_is_paused_while_the_tail_is_too_long() -> None:
+    shared = _SharedVm()
     percents = []
     for _ in range(5):
-        percents += [action.percent for action in beside.hear(1.2 * TARGET)]
+        percents += [action.percent for action in shared.report_tail(1.2 * TARGET_MS)]
     assert percents == [50, 25, 12, 0]
 
 
-def test_it_stands_still_within_four_seconds() -> None:
-    beside = _Beside()
-    began = beside.rig.clock.time
-    while not any(action.percent == 0 for action in beside.hear(1.2 * TARGET)):
+def test_a_best_effort_run_is_paused_within_four_seconds() -> None:
+    shared = _SharedVm()
+    start_time = shared.rig.clock.time
+    while not any(action.percent == 0 for action in shared.report_tail(1.2 * TARGET_MS)):
         pass
-    assert beside.rig.clock.time - began < 4.0
+    assert shared.rig.clock.time - start_time < 4.0
 
 
-def test_it_gets_its_speed_back_in_steps() -> None:
-    beside = _Beside()
-    beside.hear(1.2 * TARGET)
-    assert [action.percent for action in beside.hear(0.3 * TARGET)] == [60]
-    assert [action.percent for action in beside.hear(0.7 * TARGET)] == []
+def test_the_speed_of_a_best_effort_run_is_raised_in_steps() -> None:
+    shared = _SharedVm()
+    shared.report_tail(1.2 * TARGET_MS)
+    assert [action.percent for action in shared.report_tail(0.3 * TARGET_MS)] == [60]
+    assert [action.percent for action in shared.report_tail(0.7 * TARGET_MS)] == []
     for _ in range(4):
-        beside.hear(0.3 * TARGET)
-    assert beside.hear(0.3 * TARGET) == []
+        shared.report_tail(0.3 * TARGET_MS)
+    assert shared.report_tail(0.3 * TARGET_MS) == []
 
 
-def test_two_changes_are_not_made_on_one_figure() -> None:
-    beside = _Beside()
-    assert len(beside.hear(1.2 * TARGET)) == 1
-    beside.rig.hear("w0")
-    assert beside.rig.tick() == []
+def test_one_report_causes_one_change_only() -> None:
+    shared = _SharedVm()
+    assert len(shared.report_tail(1.2 * TARGET_MS)) == 1
+    shared.rig.hear("w0")
+    assert shared.rig.tick() == []
 
 
-def test_without_a_task_that_serves_a_filler_has_its_whole_speed() -> None:
-    beside = _Beside()
-    beside.hear(1.2 * TARGET)
-    serving = next(start for start in beside.rig.started() if start.task.startswith("serves"))
-    beside.rig.scheduler.cancel("serves")
-    beside.rig.end(serving, "stopped")
-    assert [action.percent for action in beside.hear(0.0)] == [FULL_SPEED_PERCENT]
+def test_without_a_latency_sensitive_task_a_best_effort_run_has_full_speed() -> None:
+    shared = _SharedVm()
+    shared.report_tail(1.2 * TARGET_MS)
+    sensitive_start = next(
+        start for start in shared.rig.started() if start.task.startswith("serves")
+    )
+    shared.rig.scheduler.cancel("serves")
+    shared.rig.end(sensitive_start, "stopped")
+    assert [action.percent for action in shared.report_tail(0.0)] == [FULL_SPEED_PERCENT]
 
 
-def test_a_later_leader_gives_its_own_share_first() -> None:
-    beside = _Beside()
-    beside.hear(0.7 * TARGET)
-    later = beside.rig.successor()
+def test_a_later_leader_first_requests_the_assumed_speed() -> None:
+    shared = _SharedVm()
+    shared.report_tail(0.7 * TARGET_MS)
+    later = shared.rig.successor()
     later.hear("w0")
-    ordered = beside.hear(0.7 * TARGET, later)
-    assert [action.percent for action in ordered] == [ASSUMED_SPEED_PERCENT]
+    requests = shared.report_tail(0.7 * TARGET_MS, later)
+    assert [action.percent for action in requests] == [ASSUMED_SPEED_PERCENT]
 
 
-def test_an_order_without_an_answer_is_given_again() -> None:
-    beside = _Beside()
-    (order,) = beside.hear(1.2 * TARGET)
-    beside.rig.scheduler.pacing.failed(order.vm, order.task, order.run)
-    assert len(beside.hear(0.7 * TARGET)) == 1
+def test_an_unanswered_request_is_repeated() -> None:
+    shared = _SharedVm()
+    (request,) = shared.report_tail(1.2 * TARGET_MS)
+    shared.rig.scheduler.pacing.failed(request.vm, request.task, request.run)
+    assert len(shared.report_tail(0.7 * TARGET_MS)) == 1
 
 
-def test_what_ends_tells_no_tail_whatever_its_target() -> None:
+def test_only_long_running_tasks_have_a_tail_latency() -> None:
     rig = Rig(vms=1)
-    rig.accept("ends", spec(msgspec.structs.replace(SERVES, lasting=False)))
-    rig.accept("fills", spec(FILLS))
+    rig.accept("ends", spec(msgspec.structs.replace(LATENCY_SENSITIVE, lasting=False)))
+    rig.accept("fills", spec(BEST_EFFORT))
     rig.tick()
     rig.hold_all()
     rig.clock.time += 1.0
-    rig.running["w0"] = [_with_figure(report, 20 * TARGET) for report in rig.running["w0"]]
+    rig.running["w0"] = [_with_tail(report, 20 * TARGET_MS) for report in rig.running["w0"]]
     rig.hear_all()
     assert [action for action in rig.tick() if isinstance(action, PaceRun)] == []
 
 
-def test_only_fillers_of_the_same_vm_are_slowed_down() -> None:
+def test_only_best_effort_runs_of_the_same_vm_are_throttled() -> None:
     rig = Rig(vms=2)
-    rig.accept("serves", spec(SERVES))
+    rig.accept("serves", spec(LATENCY_SENSITIVE))
     rig.accept("plain", spec(StepSpec(1, CORE, lasting=True)))
     rig.tick()
     starts: list[StartRun] = rig.started()
@@ -124,6 +126,6 @@
     rig.hear_all()
     rig.clock.time += 1.0
     for rows in rig.running.values():
-        rows[:] = [_with_figure(report, 2 * TARGET) for report in rows]
+        rows[:] = [_with_tail(report, 2 * TARGET_MS) for report in rows]
     rig.hear_all()
     assert [action for action in rig.tick() if isinstance(action, PaceRun)] == []
