--- a/tests/jobs/test_advice.py
+++ b/tests/jobs/test_advice.py
@@ -41,7 +41,7 @@
     assert len(_request(SLOW, slots=20, vms=20)[1]) == 1
 
 
-def test_a_call_names_no_more_vms_than_the_maximum() -> None:
+def test_no_more_vms_are_named_in_a_call_than_it_takes() -> None:
     _, calls = _request(QUICK, slots=2, vms=130, tasks=33)
     assert [len(call.vms) for call in calls] == [100]
 
@@ -54,7 +54,7 @@
     assert len(rig.started()) == 8
 
 
-def test_the_part_of_a_failed_call_is_requested_again_and_the_others_count() -> None:
+def test_a_part_that_fails_is_asked_for_again_and_the_others_count() -> None:
     rig, calls = _request(SLOW, slots=20)
     rig.scheduler.advice.failed(calls[0].lane, calls[0].step)
     _answer(rig, calls[1], good=1)
@@ -64,7 +64,7 @@
     assert sorted(vm for call in repeated for vm in call.vms) == sorted(calls[0].vms)
 
 
-def test_a_request_names_as_many_vms_as_a_step_is_likely_to_need_and_the_next_the_others() -> None:
+def test_as_many_vms_are_named_as_a_step_is_likely_to_need_and_then_the_others() -> None:
     rig, calls = _request(QUICK, slots=20, vms=60, tasks=4)
     (call,) = calls
     assert len(call.vms) == 30
@@ -78,7 +78,7 @@
     assert sum(len(call.vms) for call in calls) == 200
 
 
-def test_requests_name_more_vms_if_few_vms_may_run_the_steps_of_a_queue() -> None:
+def test_more_vms_are_named_for_a_queue_of_which_few_vms_may_run_steps() -> None:
     rig, calls = _request(QUICK, slots=20, vms=200, tasks=16)
     assert sum(len(call.vms) for call in calls) == 64
     for call in calls:
--- a/tests/jobs/test_caps.py
+++ b/tests/jobs/test_caps.py
@@ -41,7 +41,7 @@
     assert len(rig.started()) == 2
 
 
-def test_another_organisation_is_not_limited() -> None:
+def test_another_organisation_goes_on() -> None:
     rig = _capped_rig(4_000)
     rig.accept("mine", spec(StepSpec(3, FOUR)), organisation=MINE)
     rig.accept("other", spec(StepSpec(3, FOUR)), organisation=OTHER)
@@ -80,7 +80,7 @@
     assert len(rig.started()) == 2
 
 
-def test_an_unanswered_start_counts_until_its_vm_reports_without_it() -> None:
+def test_a_start_without_an_answer_counts_until_its_vm_shows_that_it_is_not_there() -> None:
     rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.tick()
@@ -90,7 +90,7 @@
     assert len(rig.started()) == 2
 
 
-def test_a_refused_start_no_longer_counts() -> None:
+def test_a_refused_start_counts_no_more() -> None:
     rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.tick()
@@ -164,7 +164,7 @@
     assert len(later.started()) == 1
 
 
-def test_runs_of_a_lost_vm_no_longer_count_once_they_have_ended() -> None:
+def test_a_lost_vms_runs_count_no_more_once_they_are_over() -> None:
     rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(1, FOUR)), organisation=MINE)
     rig.tick()
@@ -176,7 +176,7 @@
 # -- Changes of the cap ----------------------------------------------------------------------
 
 
-def test_runs_beyond_a_lowered_cap_are_not_stopped() -> None:
+def test_a_cap_that_falls_below_what_runs_lets_it_end() -> None:
     rig = _capped_rig(8_000)
     rig.accept("job", spec(StepSpec(3, FOUR)), organisation=MINE)
     rig.tick()
@@ -192,7 +192,7 @@
     assert len(rig.started()) == 3
 
 
-def test_a_raised_cap_applies_to_waiting_tasks() -> None:
+def test_a_cap_that_rises_applies_to_what_waits() -> None:
     rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(3, FOUR)), organisation=MINE)
     rig.tick()
@@ -201,7 +201,7 @@
     assert len(rig.started()) == 3
 
 
-def test_an_organisation_removed_from_the_configuration_keeps_its_cap() -> None:
+def test_an_organisation_that_is_named_no_more_keeps_its_cap() -> None:
     rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.configuration = msgspec.structs.replace(rig.configuration, version=7, organisations=())
@@ -353,7 +353,7 @@
     assert len(rig.started()) == 1
 
 
-def test_the_number_of_metrics_by_organisation_is_bounded() -> None:
+def test_figures_by_organisation_are_bounded() -> None:
     many = tuple(Organisation(f"o{number:03d}", cap=Shape(cores=2_000)) for number in range(200))
     rig = Rig(40, organisations=many)
     for organisation in many:
--- a/tests/jobs/test_evacuation.py
+++ b/tests/jobs/test_evacuation.py
@@ -40,7 +40,7 @@
     return found
 
 
-def test_a_run_whose_work_is_lost_in_any_case_is_stopped_at_once() -> None:
+def test_what_would_be_lost_in_any_case_is_stopped_at_once() -> None:
     assert _stop_times(_draining_rig(LONG), 0.3)[:1] == [pytest.approx(0.1)]
 
 
@@ -50,7 +50,7 @@
     assert 1.0 < first < NOTICE_S - 0.4
 
 
-def test_a_run_that_ends_in_time_is_not_stopped() -> None:
+def test_what_ends_in_time_is_left_alone() -> None:
     assert _stop_times(_draining_rig(SHORT), 0.5) == []
 
 
@@ -59,7 +59,7 @@
     assert _stop_times(_draining_rig(LONG, percent=50.0), 0.5) == []
 
 
-def test_runs_are_not_stopped_on_a_vm_that_stays_for_long() -> None:
+def test_a_vm_that_stays_for_long_keeps_its_runs() -> None:
     assert _stop_times(_draining_rig(LONG, notice=9.0), 0.5) == []
 
 
@@ -78,7 +78,7 @@
     assert rig.scheduler.state.vms_changed == changes
 
 
-def test_a_stopped_run_starts_elsewhere_from_its_saved_state() -> None:
+def test_it_starts_elsewhere_with_what_it_saved() -> None:
     rig = _draining_rig(SAVES)
     (start,) = rig.started()
     _stop_times(rig, NOTICE_S)
--- a/tests/jobs/test_large_rounds.py
+++ b/tests/jobs/test_large_rounds.py
@@ -45,7 +45,7 @@
     assert evaluations[0] <= VMS + TASKS_PER_JOB
 
 
-def test_a_round_ends_after_a_number_of_evaluations_and_the_next_one_continues(
+def test_a_round_ends_after_some_work_and_the_next_one_goes_on(
     evaluations: list[int],
 ) -> None:
     rig = _waiting_rig(JOBS)
@@ -61,7 +61,7 @@
     assert queues == sorted(queues)
 
 
-def test_a_pass_over_several_rounds_tries_all_steps_though_capacity_is_freed_all_the_time() -> None:
+def test_a_round_that_goes_on_reaches_all_steps_though_room_comes_all_the_time() -> None:
     rig = _waiting_rig(0)
     wide_gang = StepSpec(2 * VMS, rig.scheduler.state.vms["w0"].info.capacity, gang=True)
     for number in range(JOBS):
@@ -103,7 +103,7 @@
     assert evaluations >= JOBS * VMS
 
 
-def test_capacity_freed_during_a_pass_goes_to_the_most_urgent_steps_first() -> None:
+def test_room_that_comes_while_a_round_goes_on_is_for_the_most_urgent_first() -> None:
     """Each bit of capacity used to go to the steps behind a gang that had been tried already."""
     rig = _waiting_rig(0)
     whole_vm = rig.scheduler.state.vms["w0"].info.capacity
@@ -124,7 +124,7 @@
     assert {start.task for start in rig.started()[before:]} == {"gang.0.0.0", "gang.0.0.1"}
 
 
-def test_preemption_serves_the_most_urgent_steps_during_a_pass() -> None:
+def test_room_is_made_for_the_most_urgent_while_a_round_goes_on() -> None:
     rig = _waiting_rig(0)
     whole_vm = rig.scheduler.state.vms["w0"].info.capacity
     rig.accept("full", spec(StepSpec(VMS, whole_vm, expected_ms=60_000.0)), USUAL)
--- a/tests/jobs/test_making_room.py
+++ b/tests/jobs/test_making_room.py
@@ -56,7 +56,7 @@
     assert len(rig.stopped()) == 1
 
 
-def test_a_run_that_need_not_be_stopped_is_left_running() -> None:
+def test_a_victim_that_turns_out_needless_is_spared() -> None:
     rig = Rig(vms=1, queues=QUEUES)
     rig.scheduler.health.run = lambda: None  # type: ignore[method-assign]
     small, large = Shape(2_000, 1_000), Shape(12_000, 1_000)
--- a/tests/jobs/test_may_miss.py
+++ b/tests/jobs/test_may_miss.py
@@ -31,7 +31,7 @@
 LONG_RUNNING = StepSpec(3, THIRD, lasting=True, may_miss=1)
 
 
-def test_tasks_on_a_draining_vm_are_stopped_one_at_a_time() -> None:
+def test_tasks_leave_a_vm_that_drains_one_at_a_time() -> None:
     rig = _running_rig(LONG_RUNNING)
     _drain(rig, NOTICE_S)
     rig.tick(0.2)
@@ -40,7 +40,7 @@
     assert len(rig.stopped()) == 1
 
 
-def test_the_next_task_is_stopped_once_the_one_before_is_at_work_elsewhere() -> None:
+def test_the_next_one_leaves_once_the_one_before_is_at_work_elsewhere() -> None:
     rig = _running_rig(LONG_RUNNING)
     rig.add_vms(1)
     rig.commit()
--- a/tests/jobs/test_pacing.py
+++ b/tests/jobs/test_pacing.py
@@ -59,7 +59,7 @@
     assert shared.rig.clock.time - start_time < 4.0
 
 
-def test_the_speed_of_a_best_effort_run_is_raised_in_steps() -> None:
+def test_it_gets_its_speed_back_in_steps() -> None:
     shared = _SharedVm()
     shared.report_tail(1.2 * TARGET_MS)
     assert [action.percent for action in shared.report_tail(0.3 * TARGET_MS)] == [60]
--- a/tests/jobs/test_preemption.py
+++ b/tests/jobs/test_preemption.py
@@ -15,7 +15,7 @@
     return rig
 
 
-def test_low_priority_runs_are_stopped_for_an_urgent_step_that_has_waited() -> None:
+def test_cheaper_work_yields_to_urgent_work_that_has_waited() -> None:
     rig = _full_rig(StepSpec(4, HALF, expected_ms=5000.0, saves=True))
     rig.accept("quote", spec(StepSpec(1, HALF, expected_ms=3000.0)), URGENT)
     rig.tick()
@@ -29,7 +29,7 @@
     assert rig.started()[-1].vm == stop.vm
 
 
-def test_a_preempted_run_continues_from_its_saved_state() -> None:
+def test_what_yielded_goes_on_from_what_it_saved() -> None:
     rig = _full_rig(StepSpec(4, HALF, expected_ms=5000.0, saves=True))
     rig.accept("quote", spec(StepSpec(1, HALF, expected_ms=3000.0)), URGENT)
     rig.wait(0.7)
@@ -44,7 +44,7 @@
     assert (restarted.task, restarted.saved) == (stop.task, "saved-1")
 
 
-def test_runs_of_the_same_priority_are_not_stopped() -> None:
+def test_work_of_the_same_priority_does_not_yield() -> None:
     rig = _full_rig(StepSpec(4, HALF, expected_ms=5000.0, saves=True))
     rig.accept("other", spec(StepSpec(1, HALF, expected_ms=3000.0)), CHEAP)
     for _ in range(10):
@@ -52,7 +52,7 @@
     assert rig.stopped() == []
 
 
-def test_gangs_and_runs_that_would_lose_too_much_work_are_not_stopped() -> None:
+def test_gangs_and_work_that_would_lose_too_much_do_not_yield() -> None:
     rig = _full_rig(StepSpec(4, HALF, expected_ms=60_000.0, gang=True))
     rig.accept("quote", spec(StepSpec(1, HALF, expected_ms=1000.0)), URGENT)
     rig.wait(1.0)
@@ -65,7 +65,7 @@
     assert long_rig.stopped() == []
 
 
-def test_capacity_is_freed_for_a_whole_gang_and_reserved_for_it() -> None:
+def test_room_is_made_for_a_whole_gang_and_kept_for_it() -> None:
     rig = _full_rig(StepSpec(4, HALF, expected_ms=5000.0, saves=True))
     rig.accept("gang", spec(StepSpec(4, HALF, expected_ms=6000.0, gang=True)), URGENT)
     rig.wait(1.5)
@@ -80,7 +80,7 @@
     assert [start.task.split(".")[0] for start in rig.started()[4:]] == ["gang"] * 4
 
 
-def test_capacity_is_freed_for_the_next_step_once_others_have_taken_theirs() -> None:
+def test_room_is_made_for_the_next_step_once_others_have_taken_theirs() -> None:
     rig = _full_rig(StepSpec(6, HALF, expected_ms=5000.0, saves=True), vms=3)
     for number in range(3):
         rig.accept(f"quote{number}", spec(StepSpec(1, HALF, expected_ms=3000.0)), URGENT)
--- a/tests/jobs/test_reservation.py
+++ b/tests/jobs/test_reservation.py
@@ -31,7 +31,7 @@
     rig.tick()
 
 
-def test_freed_capacity_is_reserved_for_a_waiting_gang() -> None:
+def test_room_that_comes_free_is_held_for_a_gang_that_waits() -> None:
     rig = _busy_rig(vms=8, running=16)
     rig.accept("gang", spec(StepSpec(3, HALF, expected_ms=6000.0, gang=True)), GANGS)
     rig.accept("cheap", spec(StepSpec(16, HALF, expected_ms=6000.0)), CHEAP)
@@ -53,7 +53,7 @@
     assert _jobs_started(rig, 16).count("cheap") == 4
 
 
-def test_a_gang_that_never_fits_reserves_nothing() -> None:
+def test_a_gang_that_no_vm_could_take_holds_nothing() -> None:
     rig = _busy_rig(vms=4, running=8)
     rig.accept("gang", spec(StepSpec(9, HALF, expected_ms=6000.0, gang=True)), GANGS)
     rig.accept("cheap", spec(StepSpec(1, HALF, expected_ms=6000.0)), CHEAP)
@@ -62,7 +62,7 @@
     assert _jobs_started(rig, 8) == ["cheap"]
 
 
-def test_half_of_the_vms_that_a_step_may_use_remain_available_to_it() -> None:
+def test_half_of_the_vms_that_a_step_may_use_are_left_to_it() -> None:
     rig = _busy_rig(vms=2, running=4)
     rig.accept("gang", spec(StepSpec(4, HALF, expected_ms=6000.0, gang=True)), GANGS)
     rig.accept("cheap", spec(StepSpec(1, HALF, expected_ms=6000.0, label="a")), CHEAP)
--- a/tests/jobs/test_speeds.py
+++ b/tests/jobs/test_speeds.py
@@ -57,7 +57,7 @@
     assert unaware.play(load).in_time(checks) < 0.95
 
 
-def test_even_vms_are_packed_as_if_speeds_were_unknown() -> None:
+def test_even_vms_are_packed_as_before() -> None:
     load = _make_load(5, CHECKS, BATCHES)
 
     def placements(ignoring_speeds: bool) -> list[tuple[str, str]]:
@@ -137,7 +137,7 @@
     return {simulated._true_speeds[int(vm[1:])] for vm in started}
 
 
-def test_a_gang_runs_on_vms_of_similar_speed() -> None:
+def test_a_gang_runs_on_vms_alike() -> None:
     simulated = _with_learned_speeds(0.2)
     assert _gang_speeds(simulated, 30) == {SLOW}
 
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("off", [0.2, 0.5, 0.9])
-def test_speeds_are_learned_though_estimates_are_off(off: float) -> None:
+def test_speeds_are_found_though_guesses_are_off(off: float) -> None:
     simulated = _with_learned_speeds(off)
     assert simulated.rig.scheduler.state.uneven
     assert 0.8 * FAST / SLOW < simulated.ratio() < 1.25 * FAST / SLOW
@@ -161,7 +161,7 @@
         assert not simulated.rig.scheduler.state.uneven
 
 
-def test_a_cell_with_few_known_speeds_does_not_count_as_uneven() -> None:
+def test_the_first_few_vms_that_are_known_make_no_cell_uneven() -> None:
     """Two of 11 VMs that differ by up to 1.3 at most gave a ratio of 1.94 by chance."""
     for seed in range(20):
         simulated = _SimulatedRuns([1.0, 1.0, 1.3] * 4, 0.9)
@@ -171,7 +171,7 @@
             assert not simulated.rig.scheduler.state.uneven
 
 
-def test_a_cell_does_not_count_as_uneven_if_a_few_vms_turn_slow() -> None:
+def test_a_few_vms_that_turn_slow_make_no_cell_uneven() -> None:
     """A fault that slowed four of 24 VMs gave a ratio of 17 when sixths were compared."""
     simulated = _SimulatedRuns([1.0] * 24, 0.2)
     for _ in range(100):
@@ -213,7 +213,7 @@
     assert set(outcome.durations) == {each.name for each in load}
 
 
-def test_a_later_leader_restores_the_speeds_from_the_store() -> None:
+def test_a_later_leader_knows_the_speeds_from_the_store() -> None:
     simulated = _with_learned_speeds(0.2)
     simulated.rig.commit()
     later = simulated.rig.successor()
