--- a/src/sablemount/jobs/systems/__init__.py
+++ b/src/sablemount/jobs/systems/__init__.py
@@ -1,1 +1,1 @@
-"""Systems that run over the tables of the job scheduler, one job each."""
+"""Systems of the job scheduler, each of which performs one function on its tables."""
--- a/src/sablemount/jobs/systems/advice.py
+++ b/src/sablemount/jobs/systems/advice.py
@@ -327,10 +327,10 @@
     def _try_send(self, step: StepRow, vms: tuple[str, ...], share: float = 0.0) -> bool:
         """Send a request over as many slots as are worthwhile; return whether a slot was free."""
         free = self._free_slots()
-        kept = len(self._slots) // QUICK_SLOT_DIVISOR
-        if not free or (self.cost(step, len(vms)) > SLOW_CALL_S and len(free) <= kept):
+        reserved = len(self._slots) // QUICK_SLOT_DIVISOR
+        if not free or (self.cost(step, len(vms)) > SLOW_CALL_S and len(free) <= reserved):
             return False
-        parts = min(self._part_count(step, len(vms)), max(1, (len(free) - kept) // 2))
+        parts = min(self._part_count(step, len(vms)), max(1, (len(free) - reserved) // 2))
         for number, name in zip(range(parts), free, strict=False):
             self._send(name, step, vms[number::parts][:MAX_VMS_PER_CALL], share)
         return True
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -306,7 +306,7 @@
             if len(usable) == len(self._state.vms):
                 advice.known_at = self._state.vms_changed
             return
-        unknown = [row for row in unknown if self._is_worth_request(step, row)]
+        unknown = [row for row in unknown if self._is_worth_requesting(step, row)]
         if not unknown:
             return
         required_speed = self._speeds.required_speed(step)
@@ -318,7 +318,7 @@
             step, [row.name for row in requested], self._demand_share(step, requested)
         )
 
-    def _is_worth_request(self, step: StepRow, row: VmRow) -> bool:
+    def _is_worth_requesting(self, step: StepRow, row: VmRow) -> bool:
         """Return whether an answer for a VM could be used soon.
 
         While call slots are congested, only a step with slow calls requests advice ahead of free
--- a/src/sablemount/jobs/systems/speeds.py
+++ b/src/sablemount/jobs/systems/speeds.py
@@ -6,8 +6,8 @@
 with those of the step's other tasks. Callers' estimates, which are off by a factor of two, only
 matter where a step has no other completed task.
 
-All figures are logarithms: a speed of 0 is the usual one, and a duration is ``expected + bias -
-speed``.
+All figures are logarithms: a speed of 0 is the usual one, and a duration is
+``expected + bias - speed``.
 """
 
 import math
@@ -137,18 +137,18 @@
             return
         self._learn(vm, step, math.log(duration / expected))
 
-    def _learn(self, vm: VmRow, step: StepRow, duration: float) -> None:
+    def _learn(self, vm: VmRow, step: StepRow, relative_duration: float) -> None:
         queue = step.job.record.terms.name
         bias = self._bias.get(queue, 0.0)
         durations = self._durations.setdefault(step.key, _StepDurations())
         baseline_weight = CALLER_ESTIMATE_WEIGHT + durations.count
         baseline = (CALLER_ESTIMATE_WEIGHT * bias + durations.total) / baseline_weight
         estimate = self._estimates.setdefault(_key(vm), _Estimate())
-        self._add(estimate, baseline - duration, baseline_weight / (baseline_weight + 1.0))
+        self._add(estimate, baseline - relative_duration, baseline_weight / (baseline_weight + 1.0))
         if estimate.weight >= TRUSTED_WEIGHT:
             self._trusted[_key(vm)] = estimate.speed
-        self.error += SMOOTHING * (abs(duration - bias + estimate.speed) - self.error)
-        usual_duration = duration + estimate.speed
+        self.error += SMOOTHING * (abs(relative_duration - bias + estimate.speed) - self.error)
+        usual_duration = relative_duration + estimate.speed
         durations.total += usual_duration
         durations.count += 1
         self._bias[queue] = bias + SMOOTHING * (usual_duration - bias)
--- a/tests/jobs/test_crowded_lanes.py
+++ b/tests/jobs/test_crowded_lanes.py
@@ -158,7 +158,7 @@
     assert cell.calls_for("quick")
 
 
-def test_a_quick_request_precedes_free_capacity_while_call_slots_are_free() -> None:
+def test_a_quick_request_is_sent_ahead_of_free_capacity_while_call_slots_are_free() -> None:
     cell = _full_cell(slots=40)
     cell.advance(0.1)
     assert cell.calls_for("quick")
