--- a/src/sablemount/jobs/systems/choice.py
+++ b/src/sablemount/jobs/systems/choice.py
@@ -17,8 +17,8 @@
 scores 2."""
 FAILED_RETRY_DELAY_S = 1.0
 """Delay before a task is retried on the VM where it failed, if no other VM can run it. A VM on
-which every start fails would use up the attempts of its tasks within a few ms; within
-this delay, the failures of its tasks show that the VM is faulty."""
+which every start fails would use up the attempts of its tasks within a few ms; the failures of its
+tasks show within this delay that the VM is faulty."""
 FAILED_ELSEWHERE_WAIT_S = 2.0
 """Time for which a failed task waits for capacity on another VM. It is below the 3 s for which a
 job may have nothing running while there is free capacity for it."""
--- a/src/sablemount/jobs/systems/speeds.py
+++ b/src/sablemount/jobs/systems/speeds.py
@@ -51,8 +51,9 @@
 """Minimum number of VMs with known speeds for that check: of fewer, a fifth is one or two that
 differ by chance."""
 UNEVEN_THRESHOLD = math.log(2.0)
-"""Difference between the slowest and the fastest fifth from which VMs count as uneven: an objective
-of 1.5 times the work tolerates less, and even VMs differ by that much now and then."""
+"""Difference between the slowest and the fastest fifth above which VMs count as uneven. An
+objective of 1.5 times the work tolerates less, but VMs that differ by a factor of 1.5 seem to
+differ by more now and then."""
 EVEN_THRESHOLD = math.log(1.6)
 """Difference below which uneven VMs count as even again."""
 STEADY_S = 1.0
