--- a/src/sablemount/jobs/systems/acks.py
+++ b/src/sablemount/jobs/systems/acks.py
@@ -1,10 +1,11 @@
-"""When a VM is told to forget ends.
-
-A VM keeps the highest number that it was told to forget, and never lists an end up to it. Its next
-life counts from 1 again and answers under the same id, so that a number which reaches that life
-makes it forget ends of its own. So a number is sent once, right after a word of the life that it is
-for, while no order is on its way there, and nothing is started there before it was answered: a life
-that has got the number of another one has started nothing that counts.
+"""When a VM is sent the number up to which it may forget completions.
+
+A VM keeps the highest number it was sent and never again lists a completion up to that number. Its
+next incarnation counts from 1 again and answers under the same id, so an acknowledgement that
+reaches the next incarnation makes it forget completions of its own. An acknowledgement is therefore
+sent only once, right after a report from the incarnation it is meant for and while no start request
+is on its way there, and nothing is started there until it has been answered. An incarnation that
+receives an acknowledgement meant for another one has then started nothing that counts.
 """
 
 from sablemount.jobs.state import State
@@ -13,22 +14,24 @@
 __all__ = ["Acks"]
 
 HEARD_WITHIN = 0.1
-"""Seconds after a VM's word within which it may be told to forget ends: less than a VM needs to
-start again, and more than the store usually needs to note them."""
-MAY_ARRIVE = 0.75
-"""Seconds for which an order without an answer is waited for: it is given up after half of them."""
+"""Maximum age of a VM's last report when an acknowledgement is sent: shorter than a restart of the
+VM, and longer than the store usually takes to record its completions."""
+LATE_START_WINDOW_S = 0.75
+"""Time after an unanswered start request during which it may still arrive. Requests time out after
+half of it."""
 PATIENCE = 1.0
-"""Seconds for which orders to a VM may keep it from being told: it lists 500 ends at most."""
+"""Longest time for which start requests to a VM may delay its acknowledgement: the VM lists at most
+500 completions."""
 
 
 class Acks:
-    """Tells which ends a look acknowledges."""
+    """Decides which completions a poll acknowledges."""
 
     def __init__(self, state: State) -> None:
         self._state = state
 
     def pending(self, row: VmRow) -> bool:
-        """Tell whether a VM is yet to be told of ends that the store has."""
+        """Return whether the store has completions that the VM has not been told to forget."""
         if row.acked_end <= row.told_end:
             row.untold_since = None
             return False
@@ -37,32 +40,34 @@
         return True
 
     def due(self, row: VmRow) -> int:
-        """Return the number that a look may carry now; 0 if none."""
-        heard = self._state.now - row.heard_at <= HEARD_WITHIN
-        return row.acked_end if self.pending(row) and heard and self._settled(row) else 0
+        """Return the number that a poll may acknowledge now; 0 if none."""
+        recent = self._state.now - row.heard_at <= HEARD_WITHIN
+        return (
+            row.acked_end if self.pending(row) and recent and self._no_start_in_flight(row) else 0
+        )
 
-    def _settled(self, row: VmRow) -> bool:
-        """Tell whether no order can come to a VM any more, also none that it has got before.
+    def _no_start_in_flight(self, row: VmRow) -> bool:
+        """Return whether no start request, however old, can still arrive at a VM.
 
-        One that was given up is waited for as long as that keeps nothing from being started.
+        A request that timed out is waited for only as long as this does not delay other starts.
         """
         if row.ordering or (self.may_come_late(row) and not self._overdue(row)):
             return False
         return all(run.listed or run.state is RunState.NOTING for run in row.runs.values())
 
     def may_come_late(self, row: VmRow) -> bool:
-        """Tell whether an order that was given up may yet come to a VM."""
-        return self._state.now - row.unanswered_at < MAY_ARRIVE
+        """Return whether a start request that timed out may still arrive at a VM."""
+        return self._state.now - row.unanswered_at < LATE_START_WINDOW_S
 
     def unsettled(self, row: VmRow) -> None:
-        """Take that an order was given up without an answer."""
+        """Record that a start request timed out without an answer."""
         row.unanswered_at = self._state.now
 
     def hold_up(self, row: VmRow) -> bool:
-        """Tell whether nothing is to be started on a VM before it was told to forget ends."""
-        held_up = row.telling or self._overdue(row)
-        row.held_up = row.held_up or held_up
-        return held_up
+        """Return whether starts on a VM must wait until it has received its acknowledgement."""
+        delays = row.telling or self._overdue(row)
+        row.held_up = row.held_up or delays
+        return delays
 
     def _overdue(self, row: VmRow) -> bool:
         since = row.untold_since
@@ -70,27 +75,28 @@
 
     @staticmethod
     def sent(row: VmRow) -> None:
-        """Take that a number is on its way."""
+        """Record that an acknowledgement is on its way."""
         row.telling = True
 
     def answered(self, row: VmRow, number: int) -> None:
-        """Take that the life that a number is for has got it."""
+        """Record that the incarnation an acknowledgement is meant for has received it."""
         row.untold_since = None
         row.told_end = max(row.told_end, number)
         self.heard(row)
 
     def heard(self, row: VmRow) -> None:
-        """Take a word of the present life; what was held up may start."""
+        """Handle a report from the current incarnation: delayed starts may go ahead."""
         row.telling = False
         if row.held_up:
             row.held_up = False
             self._state.freed += 1
 
     def unanswered(self, row: VmRow, arrives: bool) -> None:
-        """Take that a number has no answer, and whether it may yet arrive, at a later life maybe.
+        """Record that an acknowledgement got no answer, and whether it may still arrive.
 
-        Then nothing is started there before the life that it was for is heard again, and by a fence
-        above it; a next life is taken to have got it.
+        It may then reach a later incarnation. Nothing is started on the VM until the incarnation
+        that it was meant for reports again, and then only with a higher fence; a next incarnation
+        is assumed to have received it.
         """
         row.telling = arrives
         row.fence = self._state.next_fence()
