--- a/src/sablemount/jobs/systems/crashes.py
+++ b/src/sablemount/jobs/systems/crashes.py
@@ -1,10 +1,10 @@
-"""Tasks under which VMs crash: counted, noted in the store, and given up.
+"""Tasks under which VMs crash: counted, recorded in the store, and failed permanently.
 
-A crash is the end of a VM's life that it has not told of, while its entry stood. It counts for all
-that ran there, as far as it tells of each (``evidence.py``); ``trials.py`` has what is suspected
-started where the next crash tells. Counts last in the store, and so does what was
-started on a VM of late, or runs on one that has fallen silent: so a crash counts also if its leader
-ends before it was sure of it.
+A crash is the end of a VM's incarnation that the VM has not announced, while its entry was listed.
+It counts for all tasks that ran there, with a weight for each (``evidence.py``); ``trials.py`` has
+suspected tasks started where the next crash is informative. The counts are part of the persistent
+state, and so are the tasks that were started on a VM recently or run on one that has fallen silent:
+a crash therefore counts even if the leader's term ends before it was certain of the crash.
 """
 
 from collections.abc import Callable
@@ -19,54 +19,58 @@
 
 __all__ = ["Crashes"]
 
-INTERVAL = 0.1
-"""Seconds between looks for VMs that have fallen silent."""
-SILENT_AFTER = 1.3
-"""Seconds without a word after which what runs on a VM is in doubt: a look takes 1.05 s at most."""
-MOST_SILENT = 0.25
-"""Share of the VMs that may be silent at once for that to be noted: with more of them the leader
-itself was away, or cut off."""
-LEAST_SILENT = 2
-JUDGE_INTERVAL = 0.3
-"""Seconds between looks at what more is known of crashes."""
-GIVEN_UP_AFTER = 3
-"""Crashes after which a task is given up, if they tell enough and it was on trial at the last."""
+CHECK_INTERVAL_S = 0.1
+"""Seconds between checks for VMs that have fallen silent."""
+SILENT_AFTER_S = 1.3
+"""Report age beyond which the runs on a VM are uncertain: a poll takes 1.05 s at most."""
+MAX_SILENT_SHARE = 0.25
+"""Largest share of the VMs that may be silent at once for this to be recorded: with more of them
+the leader itself was paused or cut off."""
+MIN_SILENT_LIMIT = 2
+JUDGE_INTERVAL_S = 0.3
+"""Seconds between checks whether more is known about crashes."""
+MAX_ISOLATED_CRASHES = 3
+"""Crashes after which a task fails permanently, if their weights suffice and it was isolated at the
+last one."""
 GIVEN_UP_IN_ANY_CASE = 4
-"""The same, however it was started: six starts of which three follow the third crash are too many,
-and the count of one or two may be lost with a leader."""
-LONG_AT_WORK = 3.0
-"""Seconds of work after which a run beside one on trial is no likely cause of a crash."""
-FORGIVEN_AFTER = 20.0
-"""Seconds of work after which a crash tells nothing of a task that lasts: it outlives many VMs."""
-ROWS_A_LINE = 60
+"""The same however the task was started: six starts, three of them after the third crash, are too
+many, and a leader that ends may take the count of one or two crashes with it."""
+LONG_RUNNING_AFTER_S = 3.0
+"""Seconds of work after which a run beside an isolated task is not a likely cause of a crash."""
+CRASHES_CLEARED_AFTER_S = 20.0
+"""Seconds of work after which a crash says nothing about a long-running task, which outlives many
+VMs."""
+MAX_TASKS_PER_LINE = 60
 
 
 class Crashes:
-    """Takes the ends of VMs' lives, and ends the jobs whose tasks cause them."""
+    """Records the unplanned ends of VMs, and fails the jobs whose tasks cause them."""
 
-    def __init__(self, state: State, lifecycle: Lifecycle, note: Callable[[VmRow], None]) -> None:
+    def __init__(
+        self, state: State, lifecycle: Lifecycle, record_runs: Callable[[VmRow], None]
+    ) -> None:
         self._state = state
         self._lifecycle = lifecycle
-        self._note = note
-        """Has what may be lost with a VM recorded."""
-        self._every = Every(INTERVAL)
-        self._judging = Every(JUDGE_INTERVAL)
+        self._record_runs = record_runs
+        """Records the runs of a VM that would otherwise be forgotten with it."""
+        self._check_interval = Every(CHECK_INTERVAL_S)
+        self._judge_interval = Every(JUDGE_INTERVAL_S)
         self._evidence = Evidence(state)
 
     # -- Counting ----------------------------------------------------------------------------
 
     def crashed(self, row: VmRow) -> None:
-        """Take that a VM's life has ended unplanned; call it before its runs are taken out."""
-        self._evidence.note(row, self._trial(row))
-        tasks = self._under(row)
+        """Record that a VM has ended unplanned; call it before its runs are removed."""
+        self._evidence.note(row, self._isolated_job(row))
+        tasks = self._affected_tasks(row)
         if not tasks:
             return
         for task in tasks:
             self._count(task, row.name)
-        self._tell(row, tasks)
+        self._log_crash(row, tasks)
 
     def left(self, run: RunRow) -> None:
-        """Take that a run ended with the life that it was ordered at, as it is not at the next."""
+        """Record that a run was lost with an incarnation, since the next one does not list it."""
         task = self._state.task(run.task)
         if task is None or task.state is TaskState.DONE:
             return
@@ -74,26 +78,31 @@
         extra = {"vm": run.left, "trial": "", "under": [(task.key, len(task.crashes))]}
         self._state.logger.info("VM crashed", extra=extra)
 
-    def _under(self, row: VmRow) -> list[TaskRow]:
-        """Return the open tasks that a crash counts for: the tried job's alone, if it was alone."""
+    def _affected_tasks(self, row: VmRow) -> list[TaskRow]:
+        """Return the open tasks that a crash counts for: only those of an isolated job, if any."""
         state = self._state
-        doubted = (state.task(name) for name in state.doubts.pop(row.name, ()))
-        found = {task.key: task for task in doubted if task is not None}
+        uncertain = (state.task(name) for name in state.doubts.pop(row.name, ()))
+        found = {task.key: task for task in uncertain if task is not None}
         for run in row.runs.values():
             task = state.task(run.task)
-            if task is None or _never_began(run, row) or self._forgiven(task, run, row):
+            if (
+                task is None
+                or _never_reached_vm(run, row)
+                or self._clear_if_long_running(task, run, row)
+            ):
                 continue
             if run.left:
-                # It counts for the life that it has left, once it is known not to be here.
+                # It counts for the incarnation that it was requested at, once it is known not to be
+                # here.
                 continue
             found[task.key] = task
-        trial = self._trial(row)
-        tried = [task for task in found.values() if task.step.job.name == trial]
-        return [task for task in tried or found.values() if task.state is not TaskState.DONE]
+        isolated_job = self._isolated_job(row)
+        isolated = [task for task in found.values() if task.step.job.name == isolated_job]
+        return [task for task in isolated or found.values() if task.state is not TaskState.DONE]
 
     @staticmethod
-    def _forgiven(task: TaskRow, run: RunRow, row: VmRow) -> bool:
-        if not task.step.spec.lasting or run.worked(row.heard_at) < FORGIVEN_AFTER:
+    def _clear_if_long_running(task: TaskRow, run: RunRow, row: VmRow) -> bool:
+        if not task.step.spec.lasting or run.worked(row.heard_at) < CRASHES_CLEARED_AFTER_S:
             return False
         task.crashes.clear()
         task.weights.clear()
@@ -110,33 +119,33 @@
         job.watched = True
         self._state.suspected[job.name] = job
 
-    def _trial(self, row: VmRow) -> str:
-        """Return the job on trial at a VM, if nothing is beside it but what has run for long."""
+    def _isolated_job(self, row: VmRow) -> str:
+        """Return the job isolated on a VM, if all else there has been at work for long."""
         others = (run for run in row.runs.values() if job_of(run.task) != row.trial)
-        ordered = (run for run in others if run.state is not RunState.NOTING)
-        alone = all(run.worked(row.heard_at) > LONG_AT_WORK for run in ordered)
-        return row.trial if alone else ""
+        requested = (run for run in others if run.state is not RunState.NOTING)
+        is_isolated = all(run.worked(row.heard_at) > LONG_RUNNING_AFTER_S for run in requested)
+        return row.trial if is_isolated else ""
 
     # -- Judging -----------------------------------------------------------------------------
 
-    def _judge(self) -> None:
-        """Give up the tasks that crashes are known by now to be caused by."""
+    def _fail_attributed(self) -> None:
+        """Fail the tasks to which crashes are by now attributed."""
         for task in self._evidence.weigh():
-            if self._guilty(task):
-                self._give_up(task)
+            if self._is_attributed(task):
+                self._fail(task)
 
-    def _guilty(self, task: TaskRow) -> bool:
+    def _is_attributed(self, task: TaskRow) -> bool:
         crash = self._evidence.crash(task.crashes[-1]) if task.crashes else None
         if crash is None or not crash.sure:
             return False
-        # A VM of which an earlier life has crashed may be the cause itself, and a crash beside many
-        # others is no trial.
-        tried = crash.trial == task.step.job.name and task.weight(crash.vm) >= TELLING
-        if tried and not task.crashed_in(crash.entry, crash.vm):
-            return len(task.crashes) >= GIVEN_UP_AFTER and task.evidence() >= CONVICTING_ALONE
+        # A VM of which an earlier incarnation has crashed may itself be the cause, and a crash that
+        # coincides with many others says nothing about the isolated task.
+        isolated = crash.trial == task.step.job.name and task.weight(crash.vm) >= TELLING
+        if isolated and not task.crashed_in(crash.entry, crash.vm):
+            return len(task.crashes) >= MAX_ISOLATED_CRASHES and task.evidence() >= CONVICTING_ALONE
         return len(task.crashes) >= GIVEN_UP_IN_ANY_CASE and task.evidence() >= CONVICTING
 
-    def _give_up(self, task: TaskRow) -> None:
+    def _fail(self, task: TaskRow) -> None:
         job = task.step.job
         if job.state.final:
             return
@@ -152,37 +161,39 @@
         )
         self._lifecycle.end(job, JobState.FAILED)
 
-    def _tell(self, row: VmRow, tasks: list[TaskRow]) -> None:
-        under = sorted(((task.key, len(task.crashes)) for task in tasks), key=lambda row: -row[1])
-        extra = {"vm": row.name, "trial": row.trial, "under": under[:ROWS_A_LINE]}
+    def _log_crash(self, row: VmRow, tasks: list[TaskRow]) -> None:
+        tasks_by_crashes = sorted(
+            ((task.key, len(task.crashes)) for task in tasks), key=lambda row: -row[1]
+        )
+        extra = {"vm": row.name, "trial": row.trial, "under": tasks_by_crashes[:MAX_TASKS_PER_LINE]}
         self._state.logger.info("VM crashed", extra=extra)
 
     # -- Doubt -------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Note what runs on VMs that have fallen silent, before it is sure that they crashed."""
-        if self._judging.due(self._state.now):
-            self._judge()
-        if not self._every.due(self._state.now):
+        """Record what runs on VMs that have fallen silent, before their crash is certain."""
+        if self._judge_interval.due(self._state.now):
+            self._fail_attributed()
+        if not self._check_interval.due(self._state.now):
             return
-        silent = [row for row in self._state.vms.values() if self._silent(row)]
-        if len(silent) > max(LEAST_SILENT, MOST_SILENT * len(self._state.vms)):
+        silent = [row for row in self._state.vms.values() if self._is_silent(row)]
+        if len(silent) > max(MIN_SILENT_LIMIT, MAX_SILENT_SHARE * len(self._state.vms)):
             return
         for row in silent:
             if row.doubted_at < row.heard_at:
                 row.doubted_at = self._state.now
-                self._note(row)
+                self._record_runs(row)
 
-    def _silent(self, row: VmRow) -> bool:
+    def _is_silent(self, row: VmRow) -> bool:
         if row.gone or not row.runs or row.first_heard_at < 0:
             return False
         refused = row.refused_since >= row.heard_at
-        return refused or self._state.now - row.heard_at > SILENT_AFTER
+        return refused or self._state.now - row.heard_at > SILENT_AFTER_S
 
     # -- Recovery ----------------------------------------------------------------------------
 
     def restore(self, job: JobRow, progress: Progress) -> None:
-        """Take what a former leader has noted of a job."""
+        """Restore the crashes that a previous leader has recorded for a job."""
         for key, vms in progress.crashes.items():
             task = self._task(job, key)
             if task is not None:
@@ -196,8 +207,8 @@
         return self._state.task(task_key(job.name, repetition, step, index))
 
 
-def _never_began(run: RunRow, row: VmRow) -> bool:
-    """Tell whether a run was not ordered, or when nothing listened at its VM's address any more."""
+def _never_reached_vm(run: RunRow, row: VmRow) -> bool:
+    """Return whether a run was not requested, or only once its VM refused connections."""
     if run.state is RunState.NOTING:
         return True
     return run.state is RunState.SENT and row.heard_at < row.refused_since <= run.sent_at
--- a/src/sablemount/jobs/systems/health.py
+++ b/src/sablemount/jobs/systems/health.py
@@ -1,7 +1,7 @@
-"""Which VMs are not well, judged by their tasks: they fail, stand still or are slow.
+"""Which VMs are unhealthy, judged by their tasks: they fail, stall or are slow.
 
-A VM's own word that it is well is not asked for. A VM that is not well gets no new work for
-a while that doubles each time, and tasks that stand still there are started elsewhere.
+What a VM itself reports about its health is not considered. An unhealthy VM gets no new work for a
+time that doubles with each quarantine, and tasks that stall there are started elsewhere.
 """
 
 from statistics import median
@@ -13,69 +13,71 @@
 
 __all__ = ["Health"]
 
-INTERVAL = 0.25
-"""Seconds between two judgements."""
-FIRST_PAUSE = 1.5
-"""Seconds without new work the first time; what ails a VM commonly lasts for some seconds."""
-MAX_PAUSE = 6.0
-"""Seconds without new work at most."""
-FAILURES_IN_A_ROW = 2
-"""Failures of different jobs, with nothing done in between, that quarantine a VM."""
-STILL_AFTER = 1.2
-"""Seconds without progress after which a run stands still."""
-STILL_SHARE = 0.5
-"""Share of a VM's runs that has to stand still for the VM to be at fault."""
-MIN_STILL = 2
-"""A VM is quarantined if so many of its runs, and this share of them, stand still."""
-WINDOW = 0.8
-"""Seconds over which the pace of a run is measured."""
+CHECK_INTERVAL_S = 0.25
+"""Seconds between two evaluations."""
+FIRST_QUARANTINE_S = 1.5
+"""Length of the first quarantine: the faults of a VM commonly last for some seconds."""
+MAX_QUARANTINE_S = 6.0
+"""Longest quarantine."""
+MAX_FAILED_JOBS = 2
+"""Failures of different jobs, without a success in between, that quarantine a VM."""
+STALLED_AFTER_S = 1.2
+"""Seconds without progress after which a run counts as stalled."""
+STALLED_SHARE = 0.5
+"""Share of a VM's runs that must have stalled for the VM to be at fault."""
+MIN_STALLED = 2
+"""Number of a VM's runs that must have stalled, in addition to that share; all of them if it has
+fewer."""
+SPEED_WINDOW_S = 0.8
+"""Seconds over which the speed of a run is measured."""
 SLOW_RATIO = 0.4
-"""A VM has turned slow if its tasks' pace is below this share of their own best pace.
-
-Expected times are off by a factor of two and more, so that they can't tell a slow VM from a
-long task; that all tasks of a VM slow down at once can."""
-MIN_PACES = 2
-"""Paces that have to be known of a VM, for one slow task may be its own fault."""
-MOVE_MARGIN = 0.6
-"""A task is moved if elsewhere it needs less than this share of the time that is left here."""
-WHOLE = 100.0
-MIN_MOVE = 1.0
-"""Seconds that are left of a task at least, for it to be moved."""
+"""A VM is slow if the median speed of its tasks is below this share of their own best speed.
+
+Expected durations are off by a factor of two and more, so they cannot tell a slow VM from a long
+task; all tasks of a VM slowing down at once can."""
+MIN_MEASURED_RUNS = 2
+"""Runs of known speed that a VM needs, since a single slow task may be slow by itself."""
+MAX_MOVE_RATIO = 0.6
+"""A task is moved if it needs less than this share of its remaining time here when run elsewhere.
+"""
+MAX_PERCENT = 100.0
+MIN_TIME_LEFT_S = 1.0
+"""Remaining time from which a task is moved."""
 
 
 class Health:
-    """Puts VMs out and moves what stands still or crawls."""
+    """Quarantines VMs, and moves the tasks that have stalled or run slowly there."""
 
     def __init__(self, state: State, reconcile: Reconcile) -> None:
         self._state = state
         self._reconcile = reconcile
-        self._every = Every(INTERVAL)
+        self._check_interval = Every(CHECK_INTERVAL_S)
 
     def run(self) -> None:
-        """Judge every VM that is heard."""
-        if not self._every.due(self._state.now):
+        """Evaluate every VM that has runs."""
+        if not self._check_interval.due(self._state.now):
             return
         rows = [row for row in self._state.vms.values() if row.runs and not row.gone]
         for row in rows:
-            self._judge(row, self._countable(row))
+            self._evaluate(row, self._independent_runs(row))
 
-    def _judge(self, row: VmRow, runs: list[RunRow]) -> None:
-        self._measure(row, runs)
-        still = self._still(row, runs)
-        if self._stands(runs, still):
+    def _evaluate(self, row: VmRow, runs: list[RunRow]) -> None:
+        self._measure_speeds(row, runs)
+        stalled = self._stalled_runs(row, runs)
+        if self._has_stalled(runs, stalled):
             self._quarantine(row, "its tasks stand still")
-            self._move(row, still)
-        elif self._slow(runs):
+            self._move(row, stalled)
+        elif self._is_slow(runs):
             self._quarantine(row, "its tasks are slow")
-            self._move(row, [run for run in runs if self._worth(run)])
+            self._move(row, [run for run in runs if self._is_faster_elsewhere(run)])
 
     # -- Failures ----------------------------------------------------------------------------
 
     def ended(self, vm: str, job: str, failed: bool, elsewhere: bool) -> None:
-        """Take how a task ended.
+        """Record how a task ended.
 
-        ``elsewhere`` tells that tasks of its job have failed on other VMs too, so that the job
-        may be to blame.
+        ``elsewhere`` says whether tasks of its job have failed on other VMs too, so that the job
+        may be the cause.
         """
         row = self._state.vms.get(vm)
         if row is None:
@@ -87,7 +89,7 @@
         if elsewhere:
             return
         row.failed_jobs.add(job)
-        if len(row.failed_jobs) >= FAILURES_IN_A_ROW and row.avoid_until < self._state.now:
+        if len(row.failed_jobs) >= MAX_FAILED_JOBS and row.avoid_until < self._state.now:
             row.failed_jobs.clear()
             self._quarantine(row, "its tasks fail")
 
@@ -95,7 +97,7 @@
         now = self._state.now
         if row.avoid_until > now:
             return
-        pause = min(MAX_PAUSE, FIRST_PAUSE * 2**row.strikes)
+        pause = min(MAX_QUARANTINE_S, FIRST_QUARANTINE_S * 2**row.strikes)
         row.strikes += 1
         row.avoid_until = now + pause
         self._state.logger.info(
@@ -103,10 +105,10 @@
             extra={"vm": row.name, "why": why, "seconds": pause, "runs": len(row.runs)},
         )
 
-    # -- Standing still ----------------------------------------------------------------------
+    # -- Stalled runs ------------------------------------------------------------------------
 
-    def _countable(self, row: VmRow) -> list[RunRow]:
-        """Return the runs whose progress tells of their VM alone."""
+    def _independent_runs(self, row: VmRow) -> list[RunRow]:
+        """Return the runs whose progress depends on their VM alone."""
         return [
             run
             for run, task in self._state.running_on(row)
@@ -114,55 +116,57 @@
         ]
 
     @staticmethod
-    def _still(row: VmRow, runs: list[RunRow]) -> list[RunRow]:
-        """Return the runs that made no progress, as far as the VM's last word tells."""
+    def _stalled_runs(row: VmRow, runs: list[RunRow]) -> list[RunRow]:
+        """Return the runs without progress at the time of the VM's last report."""
         return [
             run
             for run in runs
-            if row.heard_at - run.percent_at > STILL_AFTER and run.percent < WHOLE
+            if row.heard_at - run.percent_at > STALLED_AFTER_S and run.percent < MAX_PERCENT
         ]
 
     @staticmethod
-    def _stands(runs: list[RunRow], still: list[RunRow]) -> bool:
-        if not still:
+    def _has_stalled(runs: list[RunRow], stalled: list[RunRow]) -> bool:
+        if not stalled:
             return False
-        return len(still) >= min(MIN_STILL, len(runs)) and len(still) >= STILL_SHARE * len(runs)
+        return len(stalled) >= min(MIN_STALLED, len(runs)) and len(stalled) >= STALLED_SHARE * len(
+            runs
+        )
 
     # -- Slowness ----------------------------------------------------------------------------
 
-    def _measure(self, row: VmRow, runs: list[RunRow]) -> None:
+    def _measure_speeds(self, row: VmRow, runs: list[RunRow]) -> None:
         for run in runs:
-            if self._state.now - run.mark_at > WINDOW:
-                self._mark(run, row)
+            if self._state.now - run.mark_at > SPEED_WINDOW_S:
+                self._measure_speed(run, row)
 
     @staticmethod
-    def _mark(run: RunRow, row: VmRow) -> None:
-        """Measure a run's pace: the share of it that is done in a second."""
+    def _measure_speed(run: RunRow, row: VmRow) -> None:
+        """Measure a run's speed: the share of it that is done per second."""
         elapsed = row.heard_at - run.mark_at
-        if run.mark_at > 0 and elapsed > WINDOW / 2:
-            run.pace = (run.percent - run.mark_percent) / WHOLE / elapsed
+        if run.mark_at > 0 and elapsed > SPEED_WINDOW_S / 2:
+            run.pace = (run.percent - run.mark_percent) / MAX_PERCENT / elapsed
             run.best_pace = max(run.best_pace, run.pace)
         run.mark_at = row.heard_at
         run.mark_percent = run.percent
 
     @staticmethod
-    def _slow(runs: list[RunRow]) -> bool:
+    def _is_slow(runs: list[RunRow]) -> bool:
         ratios = [
             run.pace / run.best_pace for run in runs if run.pace is not None and run.best_pace > 0
         ]
-        return len(ratios) >= MIN_PACES and median(ratios) < SLOW_RATIO
+        return len(ratios) >= MIN_MEASURED_RUNS and median(ratios) < SLOW_RATIO
 
     # -- Moves -------------------------------------------------------------------------------
 
-    def _worth(self, run: RunRow) -> bool:
-        """Tell whether a run would end sooner elsewhere, with what it has saved or from anew."""
+    def _is_faster_elsewhere(self, run: RunRow) -> bool:
+        """Return whether a run would end sooner elsewhere, resumed or started anew."""
         if not run.pace or not run.best_pace:
             return False
-        left = 1.0 - run.percent / WHOLE
+        left = 1.0 - run.percent / MAX_PERCENT
         here = left / run.pace
         share = left if run.saved else 1.0
         there = share / run.best_pace + self._state.settings.stop_time
-        return here > MIN_MOVE and there < MOVE_MARGIN * here
+        return here > MIN_TIME_LEFT_S and there < MAX_MOVE_RATIO * here
 
     def _move(self, row: VmRow, runs: list[RunRow]) -> None:
         for run in runs:
