--- a/src/sablemount/jobs/systems/evidence.py
+++ b/src/sablemount/jobs/systems/evidence.py
@@ -37,8 +37,7 @@
 """Time for which a crash is kept: by then the VM's next incarnation is found, with whatever arrived
 there."""
 MOST_LOOKS = 100_000
-"""Limit on VMs and crashes examined in a round, each counted once for every crash that is weighed.
-"""
+"""Limit on VMs and crashes examined in a round, each counted once for every crash weighed."""
 MAX_SILENT_RATIO = 0.2
 """Largest ratio of silent VMs to those up at which the weight of a crash is final at once."""
 
--- a/src/sablemount/jobs/systems/health.py
+++ b/src/sablemount/jobs/systems/health.py
@@ -38,8 +38,7 @@
 MIN_MEASURED_RUNS = 2
 """Runs of known speed that a VM needs, since a single slow task may be slow by itself."""
 MAX_MOVE_RATIO = 0.6
-"""A task is moved if it needs less than this share of its remaining time here when run elsewhere.
-"""
+"""A task is moved if elsewhere it needs less than this share of its remaining time here."""
 MAX_PERCENT = 100.0
 MIN_TIME_LEFT_S = 1.0
 """Remaining time from which a task is moved."""
--- a/src/sablemount/jobs/systems/lives.py
+++ b/src/sablemount/jobs/systems/lives.py
@@ -1,7 +1,7 @@
-"""Which life of a VM is the present one, where several share an entry.
+"""Which incarnation of a VM is the current one, where several share an entry.
 
-A VM may start again under the id of its entry. Its next life holds nothing of the last one, but
-orders that were on their way to that one may reach it.
+A VM may restart under the id of its entry. Its next incarnation holds nothing of the previous one,
+but calls that were on their way to that one may reach it.
 """
 
 from collections import deque
@@ -12,48 +12,48 @@
 
 __all__ = ["Lives"]
 
-KEPT = 8
-"""Former lives of a VM that are known by name: old lists tell of the last ones."""
+MAX_EARLIER_NAMES = 8
+"""Earlier incarnations of an entry whose names are kept: outdated lists may name recent ones."""
 
 
 class Lives:
-    """Knows the present life of each entry, and the last ones before."""
+    """Keeps the current incarnation of each entry, and the names of recent earlier ones."""
 
     def __init__(self, state: State) -> None:
         self._state = state
-        self._present: dict[str, VmRow] = {}
-        self._former: dict[str, deque[str]] = {}
+        self._current: dict[str, VmRow] = {}
+        self._earlier_names: dict[str, deque[str]] = {}
 
     def present(self, entry: str) -> VmRow | None:
-        """Return the present life of an entry; ``None`` if none is known to be up."""
-        row = self._present.get(entry)
+        """Return the current incarnation of an entry, or ``None`` if none is known to be up."""
+        row = self._current.get(entry)
         return None if row is None or row.gone else row
 
     def is_over(self, info: VmInfo) -> bool:
-        """Tell whether a word is of a life that another one has followed.
+        """Return whether an entry describes an incarnation that another one has followed.
 
-        By name, since the clock that a VM starts under may have been set back; by its start where
-        the name was never known.
+        Incarnations are told apart by name, since the clock of a restarted VM may have been set
+        back; by start time where the name was never known.
         """
-        if info.name in self._former.get(info.entry, ()):
+        if info.name in self._earlier_names.get(info.entry, ()):
             return True
-        present = self.present(info.entry)
-        return present is not None and info.born < present.info.born
+        current = self.present(info.entry)
+        return current is not None and info.born < current.info.born
 
     def begin(self, row: VmRow) -> VmRow | None:
-        """Take a life as the present one; return the one that it follows if that was up so far."""
+        """Make an incarnation the current one; return the one it follows if that was still up."""
         entry = row.info.entry
-        before = self._present.get(entry)
-        self._present[entry] = row
-        # A call for an earlier life that comes late does nothing once this one was called.
+        previous = self._current.get(entry)
+        self._current[entry] = row
+        # A late call for an earlier incarnation has no effect once this one has been called.
         row.fence = self._state.next_fence()
-        if before is None:
+        if previous is None:
             return None
-        self._former.setdefault(entry, deque(maxlen=KEPT)).append(before.name)
-        return None if before.gone else before
+        self._earlier_names.setdefault(entry, deque(maxlen=MAX_EARLIER_NAMES)).append(previous.name)
+        return None if previous.gone else previous
 
     def forget(self, row: VmRow) -> None:
-        """Forget a life, and those before it."""
-        if self._present.get(row.info.entry) is row:
-            del self._present[row.info.entry]
-            self._former.pop(row.info.entry, None)
+        """Remove an incarnation, and the names of those before it."""
+        if self._current.get(row.info.entry) is row:
+            del self._current[row.info.entry]
+            self._earlier_names.pop(row.info.entry, None)
