--- a/src/sablemount/jobs/systems/starts.py
+++ b/src/sablemount/jobs/systems/starts.py
@@ -1,11 +1,11 @@
-"""Runs that are about to begin: entered, noted with their VM, and ordered.
+"""Runs that are about to begin: created, recorded with their VM, and requested.
 
-What may have been started before is ordered only once the store has it, with all crashes that came
-before. Else a leader that ends within a second of the order leaves no trace of it, and a task that
-crashes each VM is started anew under each leader.
+A task that may have been started before is requested to start only once the store has it, together
+with all crashes before it. Otherwise a leader that ends within a second of the request leaves no
+trace of it, and a task that crashes every VM is started again under each leader.
 
-Under what VMs have crashed is ordered only at a VM that has just been heard: one that had crashed
-before would count for it too, as nothing tells whether its start came first.
+A task under which VMs have crashed is started only on a VM that has just reported: the crash of a
+VM that was already down would count for the task too, as nothing shows which came first.
 """
 
 from collections.abc import Callable
@@ -24,19 +24,22 @@
 
 __all__ = ["Starts"]
 
-MS = 1000.0
-SETTLE = 0.3
+MS_PER_S = 1000.0
+CLOCK_MARGIN_S = 0.3
 """Seconds that a VM's clock may be ahead of what is known of it."""
-HEARD_WITHIN = 0.35
-"""Seconds within which a VM has to be heard before an order: a look takes as long at most."""
-PROOF_VALID = 0.3
-"""Seconds for which the order of a proof is valid: it is given at once or later once more."""
-UNHEARD_PAUSE = 0.5
-"""Seconds without new work for a VM that was not: by then its usual look tells what it is."""
+REPORT_TIMEOUT_S = 0.35
+"""Seconds within which a VM must report before a start is requested: a poll takes that long at
+most."""
+PROBE_VALID_S = 0.3
+"""Seconds for which the start request of a probe is valid: it is carried out at once or sent again
+later."""
+SILENT_PAUSE_S = 0.5
+"""Seconds without new work for a VM that did not report: by then its regular poll shows its state.
+"""
 
 
 class _Start(msgspec.Struct, frozen=True):
-    """A run that is entered, its VM, and the saved state that it goes on from."""
+    """A created run, its VM, and the saved state that it resumes from."""
 
     run: RunRow
     row: VmRow
@@ -44,158 +47,161 @@
 
 
 @dataclass(slots=True)
-class _Held:
-    """Starts of a step that are ordered together, or not at all."""
+class _PendingStart:
+    """Starts of a step that are requested together or not at all."""
 
     step: StepRow
     starts: list[_Start]
     since: float
     suspected: bool
     """Whether VMs have crashed under its tasks."""
-    looked_at: float | None = None
-    """When its VMs were asked for a word, once the store had noted it."""
+    polled_at: float | None = None
+    """When its VMs were polled, after the store had recorded it."""
 
     @property
-    def noted(self) -> bool:
-        """Tell whether the store has all of it."""
+    def is_recorded(self) -> bool:
+        """Return whether the store has recorded all its runs."""
         return all(start.run.noted for start in self.starts)
 
-    def heard(self) -> bool:
-        """Tell whether all its VMs have been heard since they were asked."""
-        asked_at = self.looked_at
-        return asked_at is not None and all(start.row.heard_at >= asked_at for start in self.starts)
+    def has_reported(self) -> bool:
+        """Return whether all its VMs have reported since they were polled."""
+        polled_at = self.polled_at
+        return polled_at is not None and all(
+            start.row.heard_at >= polled_at for start in self.starts
+        )
 
 
 def _ignore(seconds: float) -> None:
-    """Take how long the store needed, and do nothing."""
+    """Ignore the time that the store needed."""
 
 
 class Starts:
-    """Orders what is placed, at once or once the store has noted it."""
+    """Requests the chosen starts, at once or after the store has recorded them."""
 
     def __init__(self, state: State, journal: Journal, vms: Vms, advice: Advice) -> None:
         self._state = state
         self._journal = journal
         self._vms = vms
         self._advice = advice
-        self._held: list[_Held] = []
+        self._pending: list[_PendingStart] = []
         self.on_noted: Callable[[float], None] = _ignore
-        """Takes the seconds for which an order has waited for the store."""
+        """Called with the seconds for which a start request has waited for the store."""
 
-    # -- Entering ----------------------------------------------------------------------------
+    # -- Creation ----------------------------------------------------------------------------
 
     def enter(self, step: StepRow, chosen: Assignment, proof: bool = False) -> None:
-        """Enter runs that belong together: a gang's, or one alone.
+        """Create runs that belong together: those of a gang, or a single one.
 
-        One is entered as a ``proof`` that is to show whether its VM lists ends.
+        With ``probe``, the run shows whether its VM lists completions.
         """
         tasks = [task for task, _ in chosen]
         number = self._state.next_run(tasks)
-        # Any member's state is good for a gang, and all go on from the same.
+        # The saved state of any member serves the whole gang, and all resume from the same.
         saved = max((task.saved for task in tasks), key=len, default="")
-        first = any(task.noted_first for task in tasks)
+        record_first = any(task.noted_first for task in tasks)
         starts = []
         for task, row in chosen:
             run = RunRow(task.key, number, row.name, step.spec.charge, self._state.now)
             run.resumed = bool(saved)
             run.proof = proof
-            if first:
+            if record_first:
                 run.state = RunState.NOTING
                 run.settle_clock = inf
             self._state.add_run(task, run)
             starts.append(_Start(run, row, saved))
         for start in starts:
             self._journal.note_runs(start.row)
-        if first:
+        if record_first:
             self._journal.note_first([start.run for start in starts])
             suspected = any(task.crashes for task in tasks)
-            self._held.append(_Held(step, starts, self._state.now, suspected))
+            self._pending.append(_PendingStart(step, starts, self._state.now, suspected))
         else:
-            self._order(step, starts)
+            self._request(step, starts)
 
     def waiting(self) -> bool:
-        """Tell whether an order waits for the store."""
-        return bool(self._held)
+        """Return whether a start request waits for the store."""
+        return bool(self._pending)
 
-    # -- Ordering ----------------------------------------------------------------------------
+    # -- Requests ----------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Order what the store has noted, and give up what it does not come to note."""
-        held, self._held = self._held, []
-        for group in held:
-            if self._waits(group):
-                self._held.append(group)
-            elif self._may_be_ordered(group):
+        """Request the starts that the store has recorded; abandon those that it fails to record."""
+        pending, self._pending = self._pending, []
+        for group in pending:
+            if self._must_wait(group):
+                self._pending.append(group)
+            elif self._may_be_requested(group):
                 self.on_noted(self._state.now - group.since)
-                self._order(group.step, group.starts)
+                self._request(group.step, group.starts)
             else:
-                self._give_up(group)
+                self._abandon(group)
 
-    def _waits(self, group: _Held) -> bool:
-        """Tell whether the store or a VM may yet say what an order waits for."""
-        if not group.noted:
+    def _must_wait(self, group: _PendingStart) -> bool:
+        """Return whether a start request still waits for the store or for a VM's report."""
+        if not group.is_recorded:
             return self._state.noting
-        if not group.suspected or group.heard():
+        if not group.suspected or group.has_reported():
             return False
-        if group.looked_at is None:
-            group.looked_at = self._state.now
+        if group.polled_at is None:
+            group.polled_at = self._state.now
             for name in sorted({start.row.name for start in group.starts}):
                 self._state.emit(LookAt(name))
-        return self._state.now - group.looked_at < HEARD_WITHIN
+        return self._state.now - group.polled_at < REPORT_TIMEOUT_S
 
-    def _may_be_ordered(self, group: _Held) -> bool:
-        """Tell whether the VMs may still get what was chosen for them before."""
-        if group.suspected and not group.heard():
+    def _may_be_requested(self, group: _PendingStart) -> bool:
+        """Return whether the VMs may still get what was chosen for them."""
+        if group.suspected and not group.has_reported():
             self._avoid_silent(group)
             return False
         return all(self._may_start(group.step, start) for start in group.starts)
 
-    def _avoid_silent(self, group: _Held) -> None:
-        until = self._state.now + UNHEARD_PAUSE
+    def _avoid_silent(self, group: _PendingStart) -> None:
+        until = self._state.now + SILENT_PAUSE_S
         for start in group.starts:
-            if group.looked_at is not None and start.row.heard_at < group.looked_at:
+            if group.polled_at is not None and start.row.heard_at < group.polled_at:
                 start.row.avoid_until = max(start.row.avoid_until, until)
 
     def _may_start(self, step: StepRow, start: _Start) -> bool:
         run, row = start.run, start.row
-        entered = row.runs.get((run.task, run.number)) is run
-        trial = row.trial in ("", step.job.name)
+        is_current = row.runs.get((run.task, run.number)) is run
+        may_use_vm = row.trial in ("", step.job.name)
         return (
-            entered
+            is_current
             and run.noted
-            and trial
+            and may_use_vm
             and (run.proof or self._vms.usable(row))
             and self._advice.valid(step, row)
         )
 
-    def _give_up(self, group: _Held) -> None:
-        """Let tasks wait for another start, since no order was given for this one."""
+    def _abandon(self, group: _PendingStart) -> None:
+        """Return tasks to waiting, since their start was not requested."""
         extra = {
             "step": group.step.key,
             "runs": len(group.starts),
-            "noted": group.noted,
-            "heard": group.heard() if group.suspected else None,
+            "noted": group.is_recorded,
+            "heard": group.has_reported() if group.suspected else None,
             "seconds": round(self._state.now - group.since, 3),
         }
-        self._state.logger.info("start given up before its order", extra=extra)
+        self._state.logger.info("start abandoned before its request", extra=extra)
         for start in group.starts:
             if start.run.state is RunState.NOTING:
                 self._state.drop_run(start.run, NOT_ORDERED)
-                # What its VM's crash would count for does not hold it any more.
+                # The VM's record no longer names this run among those that its crash would count
+                # for.
                 self._journal.note_runs(start.row)
 
-    def _order(self, step: StepRow, starts: list[_Start]) -> None:
+    def _request(self, step: StepRow, starts: list[_Start]) -> None:
         state = self._state
         for start in starts:
             run, row = start.run, start.row
-            valid = PROOF_VALID if run.proof else state.settings.start_valid
-            valid = min(valid, self._vms.room_known_for(row))
+            valid_s = PROBE_VALID_S if run.proof else state.settings.start_valid
+            valid_s = min(valid_s, self._vms.room_known_for(row))
             run.state = RunState.SENT
             run.sent_at = state.now
-            run.settle_clock = row.clock_after(state.now) + (valid + SETTLE) * MS
+            run.settle_clock = row.clock_after(state.now) + (valid_s + CLOCK_MARGIN_S) * MS_PER_S
             ticket = "" if step.advice is None else step.advice.good[row.name].text
             payload = step.job.record.spec.payload
-            not_after = state.now + valid
+            not_after = state.now + valid_s
             state.emit(
                 StartRun(row.name, run.task, run.number, payload, not_after, start.saved, ticket)
             )
