--- a/src/sablemount/jobs/systems/lifecycle.py
+++ b/src/sablemount/jobs/systems/lifecycle.py
@@ -1,4 +1,4 @@
-"""Life of a job: accepted, steps opened in turn, ended, forgotten."""
+"""Life cycle of a job: accepted, steps opened in order, ended, removed."""
 
 from sablemount.jobs.model import JobSpec, QueueTerms, StepSpec
 from sablemount.jobs.records import JobRecord, Progress, StepProgress
@@ -12,26 +12,26 @@
     TaskState,
 )
 
-__all__ = ["Lifecycle", "chains"]
+__all__ = ["Lifecycle", "critical_paths"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 DUE_MARGIN_MS = 20.0
-"""How much later than its due time a repetition starts, for clocks that differ."""
+"""How long after its due time a repetition starts, to allow for clocks that differ."""
 
 
-def chains(spec: JobSpec) -> list[float]:
-    """Return the expected seconds from each step's start to its job's end.
+def critical_paths(spec: JobSpec) -> list[float]:
+    """Return the expected seconds from each step's start to the end of its job.
 
-    Steps come after those that they wait for.
+    Steps are listed after those that they depend on.
     """
     after = [0.0] * len(spec.steps)
-    found = [0.0] * len(spec.steps)
+    longest = [0.0] * len(spec.steps)
     for number in reversed(range(len(spec.steps))):
         step = spec.steps[number]
-        found[number] = after[number] + step.expected_ms / MS
+        longest[number] = after[number] + step.expected_ms / MS_PER_S
         for earlier in step.after:
-            after[earlier] = max(after[earlier], found[number])
-    return found
+            after[earlier] = max(after[earlier], longest[number])
+    return longest
 
 
 class Lifecycle:
@@ -39,40 +39,42 @@
 
     def __init__(self, state: State) -> None:
         self._state = state
-        self._timed: dict[str, JobRow] = {}
+        self._jobs_with_due_times: dict[str, JobRow] = {}
         """Jobs with repetitions that are not due yet."""
 
     # -- Creation ----------------------------------------------------------------------------
 
     def create(self, name: str, record: JobRecord) -> JobRow:
-        """Enter a job whose acceptance is about to be recorded."""
+        """Create the row of a job whose acceptance is about to be recorded."""
         state = self._state
-        chain = max(chains(record.spec), default=0.0)
+        critical_path = max(critical_paths(record.spec), default=0.0)
         job = JobRow(name, record, state.now)
         terms = record.terms
-        job.objective_at = state.now + terms.stretch * chain + terms.target_latency_ms / MS
+        job.objective_at = (
+            state.now + terms.stretch * critical_path + terms.target_latency_ms / MS_PER_S
+        )
         state.jobs[name] = job
         state.live[name] = job
         state.terms.setdefault(terms.name, terms)
         if record.spec.times:
-            self._timed[name] = job
+            self._jobs_with_due_times[name] = job
         self._open_repetitions(job)
         return job
 
     def restore(self, name: str, record: JobRecord, progress: Progress | None) -> JobRow:
-        """Enter a job that a former leader accepted, as far as its progress was noted."""
+        """Create the row of a job accepted by a previous leader, with its recorded progress."""
         state = self._state
         job = self.create(name, record)
         job.durable = True
         job.former = True
-        age = max(0.0, (state.wall_ms - record.accepted_ms) / MS)
+        age = max(0.0, (state.wall_ms - record.accepted_ms) / MS_PER_S)
         job.objective_at -= min(age, job.objective_at - state.now)
         if progress is not None:
-            self._apply(job, progress)
+            self._apply_progress(job, progress)
         return job
 
     def restore_ended(self, name: str, progress: Progress) -> JobRow:
-        """Enter a job of which only the end is kept."""
+        """Create the row of a job of which only the end is recorded."""
         record = JobRecord(
             QueueTerms("", ""), JobSpec("", ()), 0.0, 0, progress.organisation, progress.public
         )
@@ -82,7 +84,7 @@
         self._state.jobs[name] = job
         return job
 
-    def _apply(self, job: JobRow, progress: Progress) -> None:
+    def _apply_progress(self, job: JobRow, progress: Progress) -> None:
         job.state = JobState(progress.state)
         job.begun = job.state is not JobState.PENDING
         if job.state.final:
@@ -90,21 +92,21 @@
             job.shown = job.state
             job.ended_ms = progress.ended_ms
             return
-        for key, noted in progress.steps.items():
+        for key, recorded in progress.steps.items():
             repetition, _, number = key.partition(".")
             step = self._step(job, int(repetition), int(number))
-            self._apply_step(step, noted)
+            self._apply_step_progress(step, recorded)
 
-    def _apply_step(self, step: StepRow, noted: StepProgress) -> None:
-        mask = int(noted.done or "0", 16)
+    def _apply_step_progress(self, step: StepRow, recorded: StepProgress) -> None:
+        mask = int(recorded.done or "0", 16)
         for task in step.tasks:
-            task.failed_runs = set(noted.failures.get(task.index, ()))
-            task.saved = noted.saved.get(task.index, "")
+            task.failed_runs = set(recorded.failures.get(task.index, ()))
+            task.saved = recorded.saved.get(task.index, "")
             if mask >> task.index & 1:
                 self.task_done(task)
 
     def _step(self, job: JobRow, repetition: int, number: int) -> StepRow:
-        """Return a step's row, opening the repetitions up to it if need be."""
+        """Return a step's row, opening the repetitions up to its own where necessary."""
         while repetition >= job.next_repetition:
             self._open_repetition(job, job.next_repetition)
         return job.steps[(repetition, number)]
@@ -112,16 +114,16 @@
     # -- Opening -----------------------------------------------------------------------------
 
     def open_due(self) -> None:
-        """Open the repetitions whose time has come."""
-        for job in list(self._timed.values()):
+        """Open the repetitions that are due."""
+        for job in list(self._jobs_with_due_times.values()):
             self._open_repetitions(job)
             if job.state.final or job.next_repetition >= job.record.spec.times:
-                del self._timed[job.name]
+                del self._jobs_with_due_times[job.name]
 
     def _open_repetitions(self, job: JobRow) -> None:
         spec = job.record.spec
-        last = len(spec.repetitions())
-        while job.next_repetition < last:
+        repetitions = len(spec.repetitions())
+        while job.next_repetition < repetitions:
             if spec.times and self._state.wall_ms < self._due(job) + DUE_MARGIN_MS:
                 return
             self._open_repetition(job, job.next_repetition)
@@ -132,9 +134,9 @@
     def _open_repetition(self, job: JobRow, repetition: int) -> None:
         job.next_repetition = repetition + 1
         rows = []
-        left = chains(job.record.spec)
+        remaining = critical_paths(job.record.spec)
         for number, spec in enumerate(job.record.spec.steps):
-            row = StepRow(job, repetition, number, spec, left[number])
+            row = StepRow(job, repetition, number, spec, remaining[number])
             if job.record.terms.advice is not None:
                 row.advice = AdviceRow()
             row.make_tasks()
@@ -156,17 +158,17 @@
         self._state.touch(step)
 
     def followers(self, step: StepRow) -> list[StepRow]:
-        """Return the steps of the same repetition that wait for a step."""
+        """Return the steps of the same repetition that depend on a step."""
         return [
             row
             for (repetition, _), row in step.job.steps.items()
             if repetition == step.repetition and step.number in row.spec.after
         ]
 
-    # -- Ends --------------------------------------------------------------------------------
+    # -- Completion --------------------------------------------------------------------------
 
     def task_done(self, task: TaskRow) -> None:
-        """Take a task as done, and its step and job if that was the last."""
+        """Record that a task is done, and so are its step and job if it was their last."""
         if task.state is TaskState.DONE:
             return
         step = task.step
@@ -190,7 +192,7 @@
             self.end(job, JobState.SUCCEEDED)
 
     def end(self, job: JobRow, final: JobState) -> None:
-        """End a job; what of it still runs is to be stopped."""
+        """End a job; its runs are to be stopped."""
         if job.state.final:
             return
         job.state = final
@@ -199,7 +201,7 @@
         self._close(job)
 
     def discard(self, job: JobRow) -> None:
-        """Forget a job that was never accepted."""
+        """Remove a job that was never accepted."""
         self._close(job)
         self._state.dirty.pop(job.name, None)
 
@@ -226,30 +228,30 @@
             return Progress(int(job.state), {}, job.ended_ms, job.organisation, job.public)
         steps = {}
         for (repetition, number), step in job.steps.items():
-            noted = _noted(step)
-            if noted is not None:
-                steps[f"{repetition}.{number}"] = noted
+            recorded = _step_progress(step)
+            if recorded is not None:
+                steps[f"{repetition}.{number}"] = recorded
         progress = Progress(int(job.state), steps)
         if job.watched:
-            _note_crashes(job, progress)
+            _add_crashes(job, progress)
         return progress
 
     def forget_old(self) -> list[JobRow]:
-        """Take out the ended jobs whose state need not be told any more, and return them."""
-        kept_ms = self._state.settings.state_kept * MS * FORGET_FACTOR
-        before = self._state.wall_ms - kept_ms
+        """Remove the ended jobs whose state no longer has to be available, and return them."""
+        kept_ms = self._state.settings.state_kept * MS_PER_S * RETENTION_FACTOR
+        cutoff = self._state.wall_ms - kept_ms
         old = [
             job
             for job in self._state.jobs.values()
-            if job.state.final and job.shown.final and job.ended_ms < before
+            if job.state.final and job.shown.final and job.ended_ms < cutoff
         ]
         for job in old:
             del self._state.jobs[job.name]
         return old
 
 
-def _note_crashes(job: JobRow, progress: Progress) -> None:
-    """Add which VMs have crashed under a job's open tasks."""
+def _add_crashes(job: JobRow, progress: Progress) -> None:
+    """Add the VMs that have crashed under a job's open tasks."""
     for step in job.steps.values():
         for task in step.tasks:
             if task.crashes and task.state is not TaskState.DONE:
@@ -259,11 +261,11 @@
                     progress.weights[key] = tuple(map(task.weight, task.crashes))
 
 
-FORGET_FACTOR = 1.5
-"""How much longer an ended job is kept than it has to be: clocks differ."""
+RETENTION_FACTOR = 1.5
+"""Factor by which an ended job is kept longer than required, to allow for clocks that differ."""
 
 
-def _noted(step: StepRow) -> StepProgress | None:
+def _step_progress(step: StepRow) -> StepProgress | None:
     mask = 0
     failures: dict[int, tuple[int, ...]] = {}
     saved: dict[int, str] = {}
--- a/src/sablemount/jobs/systems/starts.py
+++ b/src/sablemount/jobs/systems/starts.py
@@ -31,11 +31,10 @@
 """Seconds within which a VM must report before a start is requested: a poll takes that long at
 most."""
 PROBE_VALID_S = 0.3
-"""Seconds for which the start request of a probe is valid: it is carried out at once or sent again
+"""Seconds for which the start request of a probe is valid: it takes effect at once or is repeated
 later."""
 SILENT_PAUSE_S = 0.5
-"""Seconds without new work for a VM that did not report: by then its regular poll shows its state.
-"""
+"""Seconds without new work for a VM that did not report: its regular poll tells more by then."""
 
 
 class _Start(msgspec.Struct, frozen=True):
@@ -186,8 +185,7 @@
         for start in group.starts:
             if start.run.state is RunState.NOTING:
                 self._state.drop_run(start.run, NOT_ORDERED)
-                # The VM's record no longer names this run among those that its crash would count
-                # for.
+                # The VM's record no longer lists this run among those that a crash would count for.
                 self._journal.note_runs(start.row)
 
     def _request(self, step: StepRow, starts: list[_Start]) -> None:
--- a/src/sablemount/jobs/systems/trials.py
+++ b/src/sablemount/jobs/systems/trials.py
@@ -1,9 +1,9 @@
-"""Where tasks may start under which VMs have crashed, so that the next crash shows their part.
+"""Placement of tasks under which VMs have crashed, so that the next crash shows their part in it.
 
-After one crash, tasks of different jobs that it counts for are kept apart while their runs are
-young. After two, a task is isolated: its VM takes nothing of other jobs until the task has ended,
-and the task starts there once all else has been at work for a while, so that a crash has no other
-likely cause.
+After one crash, tasks of different jobs that it counts for are kept apart until they have been at
+work for a while. After two, a task is isolated: its VM takes nothing of other jobs until the task
+has ended, and the task starts there once all else has been at work for a while, so that a crash has
+no other likely cause.
 """
 
 from sablemount.jobs.model import job_of
@@ -21,8 +21,7 @@
 START_TIMEOUT_S = 1.5
 """Seconds for which a VM stays isolated for a task that does not start."""
 TRIAL_TIME = 10.0
-"""Seconds of work after which an isolation is over: a long-running task would keep its VM forever.
-"""
+"""Seconds of work after which an isolation ends: a long-running task would keep its VM forever."""
 PATIENCE = 2.2
 """Seconds of waiting after which a task starts without isolation: below the 3 s for which nothing
 of a job may run while there is capacity for it."""
@@ -86,7 +85,7 @@
     # -- Choosing ----------------------------------------------------------------------------
 
     def prepare(self, step: StepRow, rows: list[VmRow]) -> None:
-        """Isolate VMs, among those a step may use, for its tasks that wait for one."""
+        """Isolate VMs, among those a step may use, for its tasks that wait for isolation."""
         if step.job.name not in self._state.suspected:
             return
         waiting = sum(1 for task in step.tasks if self._waits_for_isolation(task))
@@ -104,7 +103,7 @@
             available += max(1, self._capacity_for(step, row))
 
     def _preference(self, step: StepRow, row: VmRow) -> tuple[bool, bool, int, int]:
-        """Return a sort key of VMs: one that has just restarted, and is empty, may do so again."""
+        """Return a sort key: VMs that have just restarted come late, as they may do so again."""
         restarted = self._state.now - row.follows_at < RECENT_RESTART_S
         may_crash_again = restarted or any(task.crashed_before(row) for task in step.tasks)
         return (not self._capacity_for(step, row), may_crash_again, len(row.runs), -row.room.cores)
