--- a/src/sablemount/jobs/systems/reconcile.py
+++ b/src/sablemount/jobs/systems/reconcile.py
@@ -53,7 +53,7 @@
     """Ignore a completion."""
 
 
-def _ignore_missing(vm: str, completion: int) -> None:
+def _ignore_missing(vm: str, last_listed: int) -> None:
     """Ignore a missing completion."""
 
 
@@ -101,7 +101,8 @@
         vm.clock_at = state.now
         vm.heard_at = state.now
         self._acks.heard(vm)
-        # The report is complete: uncertain runs that it does not list are not there.
+        # Uncertain runs that the report does not list are not there; those that it lists are known
+        # from now on.
         state.doubts.pop(vm.name, None)
         if vm.first_heard_at < 0:
             vm.first_heard_at = state.now
--- a/src/sablemount/jobs/systems/vms.py
+++ b/src/sablemount/jobs/systems/vms.py
@@ -1,4 +1,4 @@
-"""Which VMs there are, what leases they have, and when what ran on a silent one is over."""
+"""Which VMs there are, which leases they hold, and when what ran on a silent one is over."""
 
 from collections.abc import Callable, Sequence
 from math import inf
@@ -15,41 +15,41 @@
 __all__ = ["Vms"]
 
 LEASE_SHARE = 0.97
-"""Share of the longest lease that is asked for, so that it is never cut."""
+"""Share of the longest lease that is requested, so that it is never cut."""
 RELISTED_WITHIN = 2.5
-"""Seconds within which an entry that lapsed while the store was away is back, if its VM lives.
-
-The platform says about two; a VM that is still missing then is taken as gone."""
-LEFT_AFTER = 1.5
-"""Seconds for which nothing listens where a VM was that has no entry any more."""
-LEFT_AS_TOLD_AFTER = 0.3
-"""The same for one that drained and is past the time that it told: two tries at its address. Its
-entry goes up to 4.5 s later, and a gang with a member there can't start again before."""
+"""Seconds within which an entry that lapsed during a store outage returns, if its VM is up.
+
+The platform states about two; a VM that is still missing after this counts as terminated."""
+LEFT_AFTER_S = 1.5
+"""Seconds after which a VM without an entry, at whose address nothing listens, has left."""
+LEFT_AS_ANNOUNCED_AFTER_S = 0.3
+"""The same for a VM that drained and is past its announced time: two attempts at its address. Its
+entry is removed up to 4.5 s later, and until then a gang with a member there cannot restart."""
 ROOM_FRESH = 4.0
-"""Seconds after its entry was read for which a VM that does not guard its room may be told to start
-something: one that has shrunk may not be started over it 4.5 s later."""
-ROOM_GAP = 1.5
-"""Seconds without a reading of entries after which VMs may not have been able to write theirs: they
-are asked for each second."""
+"""Seconds after the read of its entry in which a start may be requested of a VM that does not guard
+its capacity: 4.5 s after a VM has shrunk, nothing may be started beyond its new capacity."""
+MAX_READ_GAP_S = 1.5
+"""Seconds without a read of entries after which VMs may have been unable to write theirs: entries
+are requested every second."""
 ROOM_MARGIN = 0.3
-"""Seconds by which such an order may come later."""
+"""Seconds by which such a start request may arrive later."""
 LOST = "lost"
-"""How a run ended of which nothing can be heard any more."""
-ANOTHER_LIFE = "another life answers at its address"
-NEXT_LIFE = "its next life is there"
-MS = 1000.0
+"""Outcome of a run about which nothing can be learnt any more."""
+ANOTHER_INCARNATION = "another life answers at its address"
+NEXT_INCARNATION = "its next life is there"
+MS_PER_S = 1000.0
 
 
-def _nobody(row: VmRow) -> None:
-    """Take a crash, and do nothing."""
+def _ignore_vm(row: VmRow) -> None:
+    """Ignore a VM."""
 
 
-def _nothing(run: RunRow) -> None:
-    """Take a run, and do nothing."""
+def _ignore_run(run: RunRow) -> None:
+    """Ignore a run."""
 
 
-def _ignore() -> None:
-    """Take a next life, and do nothing."""
+def _ignore_next_incarnation() -> None:
+    """Ignore a next incarnation."""
 
 
 class Vms:
@@ -57,66 +57,67 @@
 
     def __init__(self, state: State, acks: Acks) -> None:
         self._state = state
-        self._lives = Lives(state)
+        self._incarnations = Lives(state)
         self._acks = acks
-        self.on_crash: Callable[[VmRow], None] = _nobody
-        """Takes a VM whose life has ended unplanned, with its runs still entered."""
-        self.on_left: Callable[[RunRow], None] = _nothing
-        """Takes a run that may have ended its VM's life, and has not come to the next one."""
-        self.on_next_life: Callable[[], None] = _ignore
-        """Takes that a VM has started again under its id."""
-        self.on_deaf: Callable[[VmRow], None] = _nobody
-        """Takes a VM that does not list its ends any more."""
+        self.on_crash: Callable[[VmRow], None] = _ignore_vm
+        """Called with a VM that has ended unplanned, before its runs are removed."""
+        self.on_left: Callable[[RunRow], None] = _ignore_run
+        """Called with a run that may have ended its VM and has not reached the next incarnation."""
+        self.on_next_life: Callable[[], None] = _ignore_next_incarnation
+        """Called after a VM has restarted under its id."""
+        self.on_deaf: Callable[[VmRow], None] = _ignore_vm
+        """Called with a VM that no longer lists its completions."""
 
     # -- The list ----------------------------------------------------------------------------
 
     def listed(self, infos: Sequence[VmInfo]) -> list[VmRow]:
-        """Take the present list and return the rows that are new."""
+        """Apply the complete list of VMs and return the rows that are new."""
         names = {info.name for info in infos}
         new = [row for info in infos if (row := self.told(info)) is not None]
         for row in self._state.vms.values():
             if row.name not in names:
-                self._unlist(row)
+                self._mark_unlisted(row)
         return new
 
     def told(self, info: VmInfo) -> VmRow | None:
-        """Take what a VM says of itself; return its row if it is new."""
+        """Apply a VM's entry; return its row if it is new."""
         leaves_at = self._state.now + info.leaves_in if info.leaves_in > 0 else None
         revision = info.revision
-        # Told anew with each heartbeat, these are no change of the VM.
+        # These change with each heartbeat, without any change of the VM.
         info = msgspec.structs.replace(info, leaves_in=0.0, revision=0)
         row = self._state.vms.get(info.name)
-        if row is None and self._lives.is_over(info):
-            # An old list would take the room of the present life for that of the last one.
+        if row is None and self._incarnations.is_over(info):
+            # An outdated list must not give the current incarnation's capacity to the previous one.
             return None
         if row is not None and revision < row.revision:
-            # An old list would give back the room that a VM has lost since.
+            # An outdated list must not give back the capacity that a VM has lost since.
             return None
         if row is not None:
             if revision > row.revision:
                 row.told_at = self._state.now
             row.revision = revision
-            self._changed(row, info)
-            row.leaves_at = _earlier(row.leaves_at, leaves_at)
+            self._update(row, info)
+            row.leaves_at = _earliest(row.leaves_at, leaves_at)
             return None
         row = VmRow(info, room=info.capacity, leaves_at=leaves_at, revision=revision)
-        self._enter(row)
+        self._add(row)
         self._log("VM listed", row)
         return row
 
-    def _enter(self, row: VmRow) -> None:
+    def _add(self, row: VmRow) -> None:
         self._state.vms[row.name] = row
         self._state.vms_changed += 1
-        before = self._lives.begin(row)
-        if before is not None:
-            self._follows(before, row)
+        previous = self._incarnations.begin(row)
+        if previous is not None:
+            self._handle_succession(previous, row)
 
-    def _changed(self, row: VmRow, info: VmInfo) -> None:
+    def _update(self, row: VmRow, info: VmInfo) -> None:
         if row.info.draining and not info.draining:
-            # A list may be some seconds old; a life that drains never gets well again.
+            # A list may be some seconds old; an incarnation that drains never stops draining.
             info = msgspec.structs.replace(info, draining=True)
         if info.capacity != row.info.capacity:
-            # It has shrunk or grown, or was known only from a record that does not tell.
+            # It has shrunk or grown, or was known only from a record, which does not have the
+            # capacity.
             self._log("VM's capacity", row, was=row.info.capacity, now=info.capacity)
             self._state.resize(row, info.capacity)
         if info.draining and not row.info.draining:
@@ -130,14 +131,14 @@
         row.unlisted_at = None
 
     def usable(self, row: VmRow) -> bool:
-        """Tell whether a VM may get new work at all."""
-        return not row.deaf and self._sound(row)
+        """Return whether a VM may get new work at all."""
+        return not row.deaf and self._is_healthy(row)
 
     def provable(self, row: VmRow) -> bool:
-        """Tell whether a VM may be started something on that shows whether it lists its ends."""
-        return row.deaf and row.unproven and not row.runs and self._sound(row)
+        """Return whether a probe may be started on a VM to show if it lists completions."""
+        return row.deaf and row.unproven and not row.runs and self._is_healthy(row)
 
-    def _sound(self, row: VmRow) -> bool:
+    def _is_healthy(self, row: VmRow) -> bool:
         return (
             row.in_use
             and self.room_known(row)
@@ -152,44 +153,46 @@
         )
 
     def room_known(self, row: VmRow) -> bool:
-        """Tell whether a VM's room is known so well that an order may rest on it."""
+        """Return whether a VM's capacity is known well enough for a start request."""
         return self.room_known_for(row) > ROOM_MARGIN
 
     def room_known_for(self, row: VmRow) -> float:
-        """Return for how many seconds an order may yet rest on what is known of a VM's room.
+        """Return for how many seconds start requests may rely on a VM's known capacity.
 
-        Only its entry tells that it has shrunk. One that guards its room refuses what does not fit.
+        Only its entry shows that a VM has shrunk. A VM that guards its capacity refuses what does
+        not fit.
         """
         state = self._state
         if state.rooms_at is None or row.info.pool in state.configuration.guarded_pools:
             return inf
         known_at = state.rooms_at
-        back_for = state.now - state.rooms_back_at
-        if row.told_at < state.rooms_back_at and back_for < RELISTED_WITHIN:
-            # What is read again was written before: it could not tell of itself meanwhile.
+        restored_for = state.now - state.rooms_back_at
+        if row.told_at < state.rooms_back_at and restored_for < RELISTED_WITHIN:
+            # Entries read after an outage were written before it: the VM could not write its own
+            # meanwhile.
             known_at = state.rooms_before
         return known_at + ROOM_FRESH + ROOM_MARGIN - state.now
 
     def rooms_known(self, asked_at: float) -> None:
-        """Take that entries were read, by a question of some local time."""
+        """Record that entries were read, in answer to a request made at a local time."""
         state = self._state
-        before = state.rooms_at
-        if before is not None and asked_at - before > ROOM_GAP:
-            state.rooms_before = before
+        previous = state.rooms_at
+        if previous is not None and asked_at - previous > MAX_READ_GAP_S:
+            state.rooms_before = previous
             state.rooms_back_at = state.now
-            extra = {"seconds": round(asked_at - before, 3)}
+            extra = {"seconds": round(asked_at - previous, 3)}
             state.logger.info("VMs' entries read again", extra=extra)
-        state.rooms_at = asked_at if before is None else max(before, asked_at)
-        # What had to wait for that may start.
+        state.rooms_at = asked_at if previous is None else max(previous, asked_at)
+        # Starts that waited for a read of the entries may go ahead.
         state.freed += 1
 
     def left_list(self, entry: str) -> None:
-        """Take that a VM's entry is gone; it may still run what is leased there."""
-        row = self._lives.present(entry)
+        """Record that a VM's entry was removed; the VM may still run what is leased there."""
+        row = self._incarnations.present(entry)
         if row is not None:
-            self._unlist(row)
+            self._mark_unlisted(row)
 
-    def _unlist(self, row: VmRow) -> None:
+    def _mark_unlisted(self, row: VmRow) -> None:
         row.listed = False
         if row.awaited:
             return
@@ -198,25 +201,25 @@
             self._log("VM not listed", row)
 
     def missing(self, row: VmRow) -> bool:
-        """Tell whether a VM's entry has been gone for too long, so that it gets no new work."""
+        """Return whether a VM's entry has been missing too long, so that it gets no new work."""
         since = row.unlisted_at
         return since is not None and self._state.now - since > RELISTED_WITHIN
 
-    # -- Lives -------------------------------------------------------------------------------
+    # -- Incarnations ------------------------------------------------------------------------
 
     def known(self, entry: str) -> bool:
-        """Tell whether a life of an entry is known to be up."""
-        return self._lives.present(entry) is not None
+        """Return whether an incarnation of an entry is known to be up."""
+        return self._incarnations.present(entry) is not None
 
     def another_life(self, row: VmRow, name: str, born: int) -> VmRow | None:
-        """Take that a call for a VM's life was answered by a later one; return its row if new."""
+        """Record that a call to a VM was answered by a later incarnation; return its row if new."""
         if row.gone:
             return None
         later = self._state.vms.get(name)
         if later is not None and not later.gone:
-            self._follows(row, later)
+            self._handle_succession(row, later)
             return None
-        # The rack stays with the machine; the room and all else wait for the entry.
+        # The rack belongs to the machine; the capacity and all else have to wait for the entry.
         info = msgspec.structs.replace(
             row.info,
             name=name,
@@ -226,48 +229,50 @@
             draining=False,
         )
         new = VmRow(info, listed=False, awaited=True)
-        self._enter(new)
-        self._log("VM answers", new, after=row.name)
+        self._add(new)
+        self._log("later incarnation of VM answers", new, after=row.name)
         return new
 
-    def _follows(self, before: VmRow, row: VmRow) -> None:
-        """Take that a life has followed another one that was taken to be up."""
+    def _handle_succession(self, previous: VmRow, row: VmRow) -> None:
+        """Record that an incarnation has followed another one that was believed to be up."""
         self.on_next_life()
-        # What was ordered of the last life may come to be here until this one is heard.
+        # Runs requested of the previous incarnation may still arrive here, until this one reports.
         row.loaded = True
         row.lease_end = max(row.lease_end, self._state.longest_lease_end())
-        if before.telling or before.loaded:
-            # A number for that one may come to this one, under another leader's fence too.
-            self.doubted(row, before.acked_end)
-        if before.info.born:
-            self.died(before.name, NEXT_LIFE, row)
+        if previous.telling or previous.loaded:
+            # An acknowledgement for the previous one may reach this one, also under another
+            # leader's fence.
+            self.doubted(row, previous.acked_end)
+        if previous.info.born:
+            self.died(previous.name, NEXT_INCARNATION, row)
             return
-        # Recorded before lives were told apart, it may be this very one.
-        doubted = self._state.doubts.pop(before.name, None)
-        if doubted is not None:
-            self._state.doubts[row.name] = doubted
-        before.gone = True
-        before.listed = False
-        for run in list(before.runs.values()):
+        # Recorded before incarnations were told apart, it may be this very one.
+        uncertain_tasks = self._state.doubts.pop(previous.name, None)
+        if uncertain_tasks is not None:
+            self._state.doubts[row.name] = uncertain_tasks
+        previous.gone = True
+        previous.listed = False
+        for run in list(previous.runs.values()):
             self._state.move_run(run, row)
 
     def doubted(self, row: VmRow, acked: int) -> None:
-        """Take that a life may have been told to forget the ends of the life before, and its own.
+        """Record that an incarnation may have been told to forget its predecessor's completions.
 
-        It starts nothing before it has shown that it lists its ends.
+        It then forgets its own as well, and nothing is started on it until it has listed a
+        completion.
         """
         if row.deaf:
             return
         row.deaf = row.unproven = True
         self._state.unproven[row.name] = row
         extra = {"vm": row.name, "acked": acked}
-        self._state.logger.info("VM may not list its ends", extra=extra)
+        self._state.logger.info("VM may not list its completions", extra=extra)
         self.on_deaf(row)
 
     def deafened(self, name: str, acked: int) -> None:
-        """Take that a life does not list its ends up to some number, and starts nothing more.
+        """Record that an incarnation does not list completions up to a number; it gets no new work.
 
-        It was told to forget those of the life before, and forgets its own.
+        It was told to forget those of the previous incarnation, and forgets its own.
         """
         row = self._state.vms.get(name)
         if row is None or (row.deaf and not row.unproven):
@@ -275,65 +280,67 @@
         row.deaf = True
         row.unproven = False
         self._state.unproven.pop(name, None)
-        self._state.logger.warning("VM does not list its ends", extra={"vm": name, "acked": acked})
+        self._state.logger.warning(
+            "VM does not list its completions", extra={"vm": name, "acked": acked}
+        )
         self.on_deaf(row)
 
     # -- Leases ------------------------------------------------------------------------------
 
     def lease_until(self, row: VmRow) -> int:
-        """Return the end of a new lease on the VM's clock (ms) and note how long it lasts."""
+        """Return the end of a new lease on the VM's clock (ms), and remember how long it lasts."""
         state = self._state
         length = state.settings.lease * LEASE_SHARE
         row.lease_end = max(row.lease_end, state.longest_lease_end())
-        return int(row.clock_after(state.now) + length * MS)
+        return int(row.clock_after(state.now) + length * MS_PER_S)
 
     def fresh(self, row: VmRow) -> bool:
-        """Tell whether a VM was heard of late."""
+        """Return whether a VM has reported recently."""
         return self._state.now - row.heard_at < self._state.settings.fresh
 
     def silent_for(self, row: VmRow) -> float:
-        """Return for how many seconds a VM has not been heard."""
+        """Return for how many seconds a VM has not reported."""
         return self._state.now - max(row.heard_at, self._state.elected_at)
 
     def expire(self) -> list[VmRow]:
-        """Give up what ran on VMs whose leases are over; return the rows taken out."""
+        """Drop the runs on VMs whose leases are over; return the rows that were removed."""
         now = self._state.now
-        out = []
+        removed = []
         for row in list(self._state.vms.values()):
             silent = now - row.heard_at > self._state.settings.fresh
-            used = bool(row.runs) or row.name in self._state.doubts
-            if row.gone or (silent and used and self._leases_over(row)):
-                if self._reborn(row):
+            may_be_used = bool(row.runs) or row.name in self._state.doubts
+            if row.gone or (silent and may_be_used and self._leases_over(row)):
+                if self._has_successor(row):
                     self.on_crash(row)
                 self._drop_runs(row)
             if (row.gone or not row.listed) and not row.runs and self._leases_over(row):
-                out.append(row)
+                removed.append(row)
                 del self._state.vms[row.name]
                 self._state.unproven.pop(row.name, None)
-                self._lives.forget(row)
-                self._log("VM forgotten", row)
-        return out
+                self._incarnations.forget(row)
+                self._log("VM removed", row)
+        return removed
 
     def idle(self) -> list[VmRow]:
         """Return the VMs in use on which nothing can run any more.
 
-        They are silent and what was leased there is over, or they drain, so that nothing is started
+        They are silent and the leases there are over, or they drain, so that nothing is started
         there again. A later leader then need not wait for them.
         """
         return [
             row
             for row in self._state.vms.values()
-            if row.recorded and not row.runs and (self._drained(row) or self._over(row))
+            if row.recorded and not row.runs and (self._has_drained(row) or self._has_expired(row))
         ]
 
-    def _drained(self, row: VmRow) -> bool:
+    def _has_drained(self, row: VmRow) -> bool:
         return row.info.draining and row.first_heard_at > 0 and not row.gone
 
-    def _over(self, row: VmRow) -> bool:
+    def _has_expired(self, row: VmRow) -> bool:
         return not self.fresh(row) and self._leases_over(row)
 
     def unrecorded(self) -> list[VmRow]:
-        """Return the VMs that are heard, and that no record says to be in use."""
+        """Return the VMs that report, and that no record shows to be in use."""
         return [
             row
             for row in self._state.vms.values()
@@ -341,107 +348,110 @@
         ]
 
     def _leases_over(self, row: VmRow) -> bool:
-        """Tell whether all that may run on a silent VM is over.
+        """Return whether everything that may run on a silent VM is over.
 
-        A leader that is cut off may not say so: another one may have extended the leases.
+        A leader that is cut off cannot tell: another leader may have extended the leases.
         """
         if row.gone or not (row.loaded or row.first_heard_at > 0):
             return True
-        return self._state.confirmed_at > self._over_at(row)
+        return self._state.confirmed_at > self._leases_end_at(row)
 
-    def _over_at(self, row: VmRow) -> float:
+    def _leases_end_at(self, row: VmRow) -> float:
         """Return when the leases of a silent VM are over (local time)."""
         if row.first_heard_at > 0:
             return row.lease_end
         return max(row.lease_end, self._state.unheard_until)
 
     def refused(self, row: VmRow) -> None:
-        """Take that nothing listens at a VM's address.
+        """Record that nothing listens at a VM's address.
 
-        That, and that its entry is gone or that it has told of its leave, for a while: then it has
-        left, and what ran there is over.
+        If this lasts, and the entry of the VM is missing or the VM has announced that it leaves,
+        then it has left, and what ran there is over.
         """
         now = self._state.now
         if row.refused_since < row.heard_at:
             row.refused_since = now
         refused_for = now - row.refused_since
-        as_told = self._past_its_time(row) and refused_for > LEFT_AS_TOLD_AFTER
-        if as_told or (not row.listed and refused_for > LEFT_AFTER):
+        left_as_announced = (
+            self._is_past_announced_end(row) and refused_for > LEFT_AS_ANNOUNCED_AFTER_S
+        )
+        if left_as_announced or (not row.listed and refused_for > LEFT_AFTER_S):
             self.died(row.name, "nothing listens at its address")
 
-    def _past_its_time(self, row: VmRow) -> bool:
-        """Tell whether a VM that drains need not be there any more, by what it has told itself."""
+    def _is_past_announced_end(self, row: VmRow) -> bool:
+        """Return whether a draining VM has passed the time that it announced to stay until."""
         leaves_at = row.leaves_at
         return row.info.draining and leaves_at is not None and self._state.now > leaves_at
 
     def unanswered(self, row: VmRow) -> None:
-        """Take that a look got no answer.
+        """Record that a poll got no answer.
 
-        A VM that drained, whose entry is gone and that does not answer for a while has left.
+        A VM that drained, whose entry is missing and that has not answered for a while has left.
         """
-        left = row.info.draining and not row.listed
-        if left and self._state.confirmed_at - row.heard_at > LEFT_AFTER:
+        may_have_left = row.info.draining and not row.listed
+        if may_have_left and self._state.confirmed_at - row.heard_at > LEFT_AFTER_S:
             self.died(row.name, "it drained and does not answer")
 
-    def died(self, name: str, why: str = ANOTHER_LIFE, heir: VmRow | None = None) -> None:
-        """Take that a life of a VM is over for certain, and by what that is known.
+    def died(self, name: str, why: str = ANOTHER_INCARNATION, heir: VmRow | None = None) -> None:
+        """Record that an incarnation has certainly ended, and how that is known.
 
-        Orders that it has not shown to have got may have reached ``heir``, its next life.
+        Start requests that it has not shown to have received may have reached ``heir``, the next
+        one.
         """
         row = self._state.vms.get(name)
         if row is None or row.gone:
             return
         row.gone = True
         row.listed = False
-        self._log("VM's life over", row, why=why)
+        self._log("VM terminated", row, why=why)
         if heir is not None:
-            self._pass_on(row, heir)
-        if not self._planned(row):
+            self._move_unlisted_runs(row, heir)
+        if not self._ended_as_planned(row):
             self.on_crash(row)
         self._drop_runs(row)
 
     @staticmethod
-    def _planned(row: VmRow) -> bool:
-        """Tell whether a life ended as planned: it drained, or was heard without its entry."""
+    def _ended_as_planned(row: VmRow) -> bool:
+        """Return whether a VM ended as planned: it drained, or reported when its entry was gone."""
         unlisted_at = row.unlisted_at
         return row.info.draining or (unlisted_at is not None and row.heard_at > unlisted_at)
 
-    def _reborn(self, row: VmRow) -> bool:
-        """Tell whether a silent VM's machine has another life, so that it was not just cut off."""
+    def _has_successor(self, row: VmRow) -> bool:
+        """Return whether a silent VM's machine has another VM, so that it was not just cut off."""
         machine = row.info.machine
-        if row.gone or not machine or self._planned(row):
+        if row.gone or not machine or self._ended_as_planned(row):
             return False
         others = self._state.vms.values()
         return any(other.listed and other.info.machine == machine for other in others)
 
-    def _pass_on(self, row: VmRow, heir: VmRow) -> None:
-        """Look for what a life has not listed at the next one, which the order may have reached."""
-        planned = self._planned(row)
-        if not planned:
+    def _move_unlisted_runs(self, row: VmRow, heir: VmRow) -> None:
+        """Move runs to the next incarnation if their start requests may have reached it."""
+        is_planned = self._ended_as_planned(row)
+        if not is_planned:
             heir.follows_at = self._state.now
         for run in list(row.runs.values()):
             if run.listed or run.state is RunState.NOTING:
                 continue
-            if not planned:
-                self._lost(run)
+            if not is_planned:
+                self._mark_lost(run)
             self._state.move_run(run, heir)
-            if planned:
+            if is_planned:
                 run.left = ""
 
     def _drop_runs(self, row: VmRow) -> None:
         runs: list[RunRow] = list(row.runs.values())
         if runs:
             runs_lost(self._state.logger, row, self._state.now)
-        planned = self._planned(row)
+        is_planned = self._ended_as_planned(row)
         for run in runs:
-            if not planned:
-                self._lost(run)
+            if not is_planned:
+                self._mark_lost(run)
             if run.left:
                 self.on_left(run)
             self._state.drop_run(run, LOST)
 
-    def _lost(self, run: RunRow) -> None:
-        """Take that a run may have ended its VM's life; one that was not ordered has not."""
+    def _mark_lost(self, run: RunRow) -> None:
+        """Record that a run may have ended its VM, unless it was not requested yet."""
         task = self._state.task(run.task)
         if task is not None and run.state is not RunState.NOTING:
             task.lost = True
@@ -454,27 +464,27 @@
     # -- After a change of leader ------------------------------------------------------------
 
     def load(self, info: VmInfo) -> VmRow:
-        """Enter a life that a former leader has recorded to be in use."""
+        """Create the row of an incarnation that a previous leader recorded as in use."""
         row = VmRow(info, listed=False)
         row.loaded = row.recorded = row.in_use = True
         self._state.vms[row.name] = row
-        self._log("VM in use by its record", row)
+        self._log("VM in use according to its record", row)
         return row
 
     def loaded(self) -> None:
-        """Take that all records are loaded: of lives that share an entry, the last one is up."""
+        """Handle the end of loading: of incarnations that share an entry, the last one is up."""
         for row in sorted(self._state.vms.values(), key=lambda row: row.info.born):
-            self._enter(row)
+            self._add(row)
 
     def former_may_order(self) -> None:
-        """Take that a former leader may have extended leases up to this moment."""
+        """Record that a previous leader may have extended leases up to this moment."""
         state = self._state
         settings = state.settings
-        over = state.now + settings.takeover_margin + settings.lease / SLOW_CLOCK
-        state.unheard_until = max(state.unheard_until, over)
+        leases_end_at = state.now + settings.takeover_margin + settings.lease / SLOW_CLOCK
+        state.unheard_until = max(state.unheard_until, leases_end_at)
 
     def all_heard(self) -> bool:
-        """Tell whether no run of a former leader can be unseen any more."""
+        """Return whether every run of a previous leader has been seen."""
         state = self._state
         if state.confirmed_at > state.unheard_until:
             return True
@@ -482,7 +492,7 @@
         return all(row.first_heard_at > 0 or row.gone for row in loaded)
 
 
-def _earlier(first: float | None, second: float | None) -> float | None:
-    """Return the earlier of two times: an old list tells of more time than is left."""
+def _earliest(first: float | None, second: float | None) -> float | None:
+    """Return the earlier of two times, since an outdated list announces more time than is left."""
     given = [time for time in (first, second) if time is not None]
     return min(given, default=None)
--- a/tests/jobs/test_vms.py
+++ b/tests/jobs/test_vms.py
@@ -165,7 +165,7 @@
     with caplog.at_level("INFO", "sablemount.jobs"):
         rig.scheduler.vms.died("w0")
     lines = {line.getMessage(): line for line in caplog.records}
-    assert lines["VM's life over"].why == "another life answers at its address"
+    assert lines["VM terminated"].why == "another life answers at its address"
     assert [(row[0], row[3]) for row in lines["runs lost with VM"].lost] == [
         ("second.0.0.0", "sent"),
         ("first.0.0.0", "running"),
