--- a/tests/jobs/test_next_life.py
+++ b/tests/jobs/test_next_life.py
@@ -50,7 +50,7 @@
 
 def _answers(rig: Rig, life: int, acked: int = 0) -> None:
     """Let a later life answer a call that was meant for the present one."""
-    row = rig.scheduler.vms._lives.present("w0")
+    row = rig.scheduler.vms._incarnations.present("w0")
     assert row is not None
     info = _info(life)
     rig.scheduler.now()
