--- a/tests/jobs/test_acks.py
+++ b/tests/jobs/test_acks.py
@@ -1,7 +1,8 @@
-"""A VM is told to forget ends so that no other life of it forgets its own.
+"""An acknowledgement reaches only the incarnation of a VM that it is meant for.
 
-A VM that had started again within 0.3 s got the number of its earlier life, and listed none of its
-own ends up to it: what ended there counted as noted and was started again elsewhere.
+A VM that had restarted within 0.3 s received the acknowledgement of its previous incarnation and
+listed none of its own completions up to that number. Its completed runs were lost and started again
+elsewhere.
 """
 
 import asyncio
@@ -22,8 +23,8 @@
 JOB = spec(StepSpec(1, CORE))
 
 
-def _ended() -> tuple[Rig, VmRow]:
-    """Return a rig whose only VM has an end that the store has, and no word since."""
+def _rig_with_completion() -> tuple[Rig, VmRow]:
+    """Return a rig whose only VM has a recorded completion and has not reported since."""
     rig = Rig(vms=1)
     rig.accept("job", JOB)
     rig.tick()
@@ -33,8 +34,8 @@
     return rig, rig.scheduler.state.vms["w0"]
 
 
-def test_a_vm_is_told_right_after_its_word() -> None:
-    rig, row = _ended()
+def test_an_acknowledgement_is_due_right_after_a_report() -> None:
+    rig, row = _rig_with_completion()
     assert rig.scheduler.acks.due(row) == 1
     rig.clock.time += HEARD_WITHIN + 0.01
     rig.scheduler.now()
@@ -43,16 +44,16 @@
     assert rig.scheduler.acks.due(row) == 1
 
 
-def test_a_vm_is_told_once() -> None:
-    rig, row = _ended()
+def test_an_acknowledgement_is_sent_once() -> None:
+    rig, row = _rig_with_completion()
     rig.scheduler.acks.sent(row)
     rig.scheduler.acks.answered(row, 1)
     rig.hear_all()
     assert rig.scheduler.acks.due(row) == 0
 
 
-def test_a_vm_is_not_told_while_an_order_is_on_its_way() -> None:
-    rig, row = _ended()
+def test_no_acknowledgement_is_due_while_a_start_request_is_in_flight() -> None:
+    rig, row = _rig_with_completion()
     rig.accept("more", JOB)
     rig.tick()
     rig.hear_all()
@@ -62,8 +63,8 @@
     assert rig.scheduler.acks.due(row) == 1
 
 
-def test_nothing_is_started_while_a_vm_is_told() -> None:
-    rig, row = _ended()
+def test_nothing_is_started_while_an_acknowledgement_is_in_flight() -> None:
+    rig, row = _rig_with_completion()
     rig.scheduler.acks.sent(row)
     rig.accept("more", JOB)
     rig.tick()
@@ -73,8 +74,8 @@
     assert len(rig.started()) == 2
 
 
-def test_nothing_is_started_before_a_vm_that_gave_no_answer_is_heard() -> None:
-    rig, row = _ended()
+def test_nothing_is_started_after_an_unanswered_acknowledgement_until_the_next_report() -> None:
+    rig, row = _rig_with_completion()
     fence = row.fence
     rig.scheduler.acks.sent(row)
     rig.scheduler.acks.unanswered(row, True)
@@ -86,12 +87,12 @@
     assert len(rig.started()) == 2
 
 
-def test_orders_do_not_keep_a_vm_from_being_told_for_ever() -> None:
-    rig, row = _ended()
+def test_start_requests_do_not_delay_an_acknowledgement_forever() -> None:
+    rig, row = _rig_with_completion()
     for number in range(40):
         rig.accept(f"more{number}", JOB)
         rig.tick(0.05)
-        # Each order is listed only as the next one is on its way.
+        # Each start is listed only after the next one has been requested.
         started = rig.started()
         for start in started[1:-1]:
             rig.run(start)
@@ -102,8 +103,8 @@
     assert rig.clock.time - row.untold_since > PATIENCE
 
 
-def test_a_life_that_got_the_number_of_the_one_before_starts_nothing() -> None:
-    rig, row = _ended()
+def test_nothing_is_started_on_an_incarnation_that_got_an_earlier_ones_acknowledgement() -> None:
+    rig, row = _rig_with_completion()
     rig.scheduler.acks.sent(row)
     rig.scheduler.other_life(row, OtherLife("w0/7", 7), 1)
     later = rig.scheduler.state.vms["w0/7"]
@@ -116,13 +117,13 @@
 
 
 @pytest.mark.parametrize("arrives", [True, False], ids=["no answer", "not sent"])
-def test_a_number_without_an_answer_may_have_reached_the_next_life(arrives: bool) -> None:
-    """A VM started again 3 s after one that had no answer, which was the first call to reach it.
+def test_an_unanswered_acknowledgement_may_have_reached_the_next_incarnation(arrives: bool) -> None:
+    """A VM restarted 3 s after an unanswered acknowledgement, which was the first call to reach it.
 
-    Four plays of real processes had what ended there started again: "run not there" of each of its
-    runs, one after the other, with seen_end 0.
+    Its next incarnation did not list its completions: each run there was dropped as "run not there"
+    with seen_end 0, and started again.
     """
-    rig, row = _ended()
+    rig, row = _rig_with_completion()
     rig.scheduler.acks.sent(row)
     rig.scheduler.acks.unanswered(row, arrives)
     rig.clock.time += 3.0
@@ -132,8 +133,8 @@
 
 
 def test_a_number_that_outlives_its_leader_may_have_reached_the_next_life() -> None:
-    """Its leader ended with it under way, and nothing in the store tells the next one of it."""
-    rig, row = _ended()
+    """The leader ended with an acknowledgement in flight, of which the store has no record."""
+    rig, row = _rig_with_completion()
     rig.scheduler.acks.sent(row)
     rig.scheduler.acks.unanswered(row, True)
     rig.commit()
@@ -143,7 +144,7 @@
     assert later.scheduler.state.vms["w0/7"].deaf
 
 
-def test_a_vm_on_which_a_run_ends_without_an_end_starts_nothing_more() -> None:
+def test_nothing_more_is_started_on_a_vm_with_an_unlisted_completion() -> None:
     rig = Rig(vms=1)
     rig.accept("job", JOB)
     rig.run_all()
@@ -156,7 +157,7 @@
 
 
 class _Port:
-    """A VM whose answers a test chooses."""
+    """A VM whose answers are chosen by the test."""
 
     def __init__(self, answers: Callable[[HoldCall], HoldResult]) -> None:
         self.holds: list[HoldCall] = []
@@ -177,15 +178,17 @@
         return self.on_start()
 
 
-def _calls(rig: Rig, port: _Port, fenced: list[str]) -> VmCalls:
-    noted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-    noted.set_result(None)
+def _vm_calls(rig: Rig, port: _Port, fenced: list[str]) -> VmCalls:
+    recorded: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+    recorded.set_result(None)
     rig.clock.monotonic = asyncio.get_running_loop().time  # type: ignore[method-assign]
     rig.scheduler.now()
-    return VmCalls(rig.scheduler, port, 3, lambda: True, fenced.append, lambda: None, lambda: noted)
+    return VmCalls(
+        rig.scheduler, port, 3, lambda: True, fenced.append, lambda: None, lambda: recorded
+    )
 
 
-def test_a_fence_that_a_later_call_went_above_is_no_later_leader() -> None:
+def test_a_fence_exceeded_by_a_later_call_does_not_indicate_a_later_leader() -> None:
     async def scenario() -> None:
         rig = Rig(vms=1)
         row = rig.scheduler.state.vms["w0"]
@@ -197,55 +200,55 @@
             return CallError.FENCED
 
         port = _Port(refuse)
-        calls = _calls(rig, port, fenced)
-        await calls._look(row)
+        vm_calls = _vm_calls(rig, port, fenced)
+        await vm_calls._look(row)
         assert fenced == []
-        await calls._look(row)
+        await vm_calls._look(row)
         assert fenced == ["w0"]
         assert port.holds[0].fence < port.holds[1].fence
 
     run(scenario())
 
 
-def test_a_number_goes_with_a_look_that_does_not_wait() -> None:
+def test_an_acknowledgement_is_sent_with_a_poll_that_does_not_wait() -> None:
     async def scenario() -> None:
-        rig, row = _ended()
+        rig, row = _rig_with_completion()
 
-        def hear(call: HoldCall) -> HoldResult:
+        def answer(call: HoldCall) -> HoldResult:
             now = asyncio.get_running_loop().time()
             return Heard("w0", now, now * 1000.0, (), ())
 
-        port = _Port(hear)
-        calls = _calls(rig, port, [])
+        port = _Port(answer)
+        vm_calls = _vm_calls(rig, port, [])
         row.heard_at = asyncio.get_running_loop().time()
-        await calls._look(row)
-        await calls._look(row)
+        await vm_calls._look(row)
+        await vm_calls._look(row)
         assert [(call.acked_end, call.wait > 0) for call in port.holds] == [(1, False), (0, True)]
 
     run(scenario())
 
 
-def test_a_start_is_not_ordered_again_once_it_was_listed() -> None:
-    """The second order came to the VM's next life, while the first had run in the last one."""
+def test_a_start_is_not_requested_again_after_it_was_listed() -> None:
+    """A repeated request reached the next incarnation after the first had run in the last one."""
 
     async def scenario() -> None:
         rig = Rig(vms=1)
         port = _Port(lambda call: CallError.NO_ANSWER)
-        calls = _calls(rig, port, [])
+        vm_calls = _vm_calls(rig, port, [])
         rig.hear_all()
         rig.accept("job", JOB)
         actions = rig.scheduler.tick()
         (start,) = [action for action in actions if isinstance(action, StartRun)]
 
-        def listed() -> StartResult:
+        def answer_after_listing() -> StartResult:
             row = rig.scheduler.state.vms["w0"]
             clock_ms = row.clock_ms + 10.0
             report = RunReport(start.task, start.run)
             rig.scheduler.heard(Heard("w0", 0.0, clock_ms, (report,), ()))
             return CallError.NO_ANSWER
 
-        port.on_start = listed
-        await calls._start(start)
+        port.on_start = answer_after_listing
+        await vm_calls._start(start)
         assert len(port.starts) == 1
 
     run(scenario())
--- a/tests/jobs/test_crashes.py
+++ b/tests/jobs/test_crashes.py
@@ -1,4 +1,4 @@
-"""A crash counts for what ran on its VM, lasts over leaders, and is told from a planned end."""
+"""A crash counts for the tasks on its VM, is kept across leaders, and is not a planned end."""
 
 import msgspec
 import pytest
@@ -13,24 +13,24 @@
 TASK = (0, 0)
 
 
-def _running(rig: Rig, name: str, step: StepSpec | None = None) -> TaskRow:
-    """Have a job accepted and its first task run."""
+def _run_task(rig: Rig, name: str, step: StepSpec | None = None) -> TaskRow:
+    """Submit a job and return its first task, running."""
     row = rig.accept(name, spec(step or StepSpec(1, CORE)))
     rig.run_all()
     return row.steps[TASK].tasks[0]
 
 
 def _crash(rig: Rig, vm: str) -> None:
-    """End a VM's life, and let another machine take its place."""
+    """Terminate a VM whose entry has been removed."""
     rig.listed.remove(vm)
     rig.scheduler.vms.died(vm)
 
 
 def test_a_crash_counts_for_all_that_ran_on_the_vm_and_for_nothing_else() -> None:
     rig = Rig(vms=2)
-    tasks = [_running(rig, name) for name in ("a", "b")]
+    tasks = [_run_task(rig, name) for name in ("a", "b")]
     (vm,) = {run.vm for task in tasks for run in task.runs}
-    other = _running(rig, "c", StepSpec(1, Shape(15_500, 1_000)))
+    other = _run_task(rig, "c", StepSpec(1, Shape(15_500, 1_000)))
     _crash(rig, vm)
     assert [task.crashes for task in tasks] == [[vm], [vm]]
     assert other.crashes == []
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("how", ["drained", "left without a word"])
 def test_a_planned_end_is_no_crash(how: str) -> None:
     rig = Rig(vms=1)
-    task = _running(rig, "a")
+    task = _run_task(rig, "a")
     info = rig.scheduler.state.vms["w0"].info
     if how == "drained":
         rig.scheduler.told(msgspec.structs.replace(info, draining=True))
@@ -51,22 +51,22 @@
 
 
 def test_a_vm_that_is_cut_off_is_no_crash_and_one_whose_machine_is_back_is() -> None:
-    for machine, crashes in (("", []), ("m1", ["w0"])):
+    for machine, expected in (("", []), ("m1", ["w0"])):
         rig = Rig(vms=1)
         info = rig.scheduler.state.vms["w0"].info
         rig.scheduler.told(msgspec.structs.replace(info, machine="m1"))
-        task = _running(rig, "a")
+        task = _run_task(rig, "a")
         rig.scheduler.vms.left_list("w0")
         rig.listed.remove("w0")
         rig.scheduler.told(msgspec.structs.replace(info, name="w0b", machine=machine))
         rig.tick(8.0)
         rig.tick(0.6)
-        assert task.crashes == crashes
+        assert task.crashes == expected
 
 
 def test_a_crash_is_known_to_later_leaders() -> None:
     rig = Rig(vms=2)
-    vm = _running(rig, "a").runs[0].vm
+    vm = _run_task(rig, "a").runs[0].vm
     _crash(rig, vm)
     rig.tick()
     rig.commit()
@@ -76,7 +76,7 @@
 
 def test_a_crash_that_no_leader_was_sure_of_counts_under_the_next_one() -> None:
     rig = Rig(vms=2)
-    vm = _running(rig, "a").runs[0].vm
+    vm = _run_task(rig, "a").runs[0].vm
     rig.commit()
     later = rig.successor()
     later.listed.remove(vm)
@@ -84,9 +84,9 @@
     assert later.scheduler.state.jobs["a"].steps[TASK].tasks[0].crashes == [vm]
 
 
-def test_what_a_later_leader_hears_of_is_in_doubt_no_more() -> None:
+def test_runs_missing_from_a_report_to_a_later_leader_are_not_suspected() -> None:
     rig = Rig(vms=2)
-    task = _running(rig, "a")
+    task = _run_task(rig, "a")
     vm = task.runs[0].vm
     rig.commit()
     rig.running[vm].clear()
@@ -98,7 +98,7 @@
 
 def test_what_runs_on_a_vm_that_falls_silent_is_recorded_with_it() -> None:
     rig = Rig(vms=4)
-    vm = _running(rig, "a").runs[0].vm
+    vm = _run_task(rig, "a").runs[0].vm
     rig.wait(3.0)
     rig.scheduler.journal.note_runs(rig.scheduler.state.vms[vm])
     rig.commit()
@@ -120,10 +120,10 @@
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(VmRecord("a", "p")), type=VmRecord)
 
 
-def test_a_task_is_given_up_and_what_ran_beside_it_is_not() -> None:
+def test_a_task_that_crashes_vms_fails_and_tasks_beside_it_do_not() -> None:
     rig = Rig(vms=12)
-    beside = _running(rig, "beside")
-    bad = _running(rig, "bad")
+    beside = _run_task(rig, "beside")
+    bad = _run_task(rig, "bad")
     for _ in range(GIVEN_UP_IN_ANY_CASE):
         run = next(iter(bad.runs), None)
         if run is None or rig.scheduler.state.jobs["bad"].state.final:
@@ -137,9 +137,9 @@
     assert beside.step.job.state is JobState.RUNNING
 
 
-def test_a_task_that_lasts_is_not_blamed_for_vms_that_it_outlives() -> None:
+def test_crashes_are_not_attributed_to_a_long_running_task() -> None:
     rig = Rig(vms=8)
-    task = _running(rig, "a", StepSpec(1, CORE, lasting=True))
+    task = _run_task(rig, "a", StepSpec(1, CORE, lasting=True))
     for _ in range(6):
         rig.wait(30.0)
         _crash(rig, task.runs[0].vm)
@@ -150,7 +150,7 @@
     assert not task.step.job.state.final
 
 
-def test_crashes_go_before_failures_into_a_record_that_is_full() -> None:
+def test_crashes_take_precedence_over_failures_in_a_full_record() -> None:
     rig = Rig(vms=1)
     row = rig.accept("a", spec(StepSpec(4_000, CORE, saves=True)))
     row.watched = True
@@ -166,12 +166,12 @@
 
 
 def test_a_noted_start_counts_once_its_machine_has_another_life_at_another_address() -> None:
-    """Nothing answers where the VM was, and its entry went before the later leader came."""
+    """Nothing answers at the VM's address, and its entry is gone before the later leader comes."""
     rig = Rig(vms=2)
     for number, vm in enumerate(rig.listed):
         info = rig.scheduler.state.vms[vm].info
         rig.scheduler.told(msgspec.structs.replace(info, machine=f"m{number}"))
-    run = _running(rig, "a").runs[0]
+    run = _run_task(rig, "a").runs[0]
     rig.commit()
     info = rig.scheduler.state.vms.pop(run.vm).info
     later = rig.successor()
