--- a/tests/jobs/test_crashing_tasks.py
+++ b/tests/jobs/test_crashing_tasks.py
@@ -1,8 +1,9 @@
 """A task that crashes its VMs is isolated and fails permanently instead of starting without end.
 
 A run that is lost with its VM is not a failure of its task, so nothing counted or bounded the
-restarts of such a task, and each crash took the ten to fifteen runs beside it along. The count of
-crashes is kept across changes of leader, and tasks that only ran beside it complete.
+restarts of such a task: it was started four times in a row under one leader, 0.03 s after each
+crash, and each crash took the ten to fifteen runs beside it along. The count of crashes is kept
+across changes of leader, and tasks that only ran beside it complete.
 """
 
 import asyncio
@@ -48,7 +49,7 @@
     wrong = await system.faults()
     reply = await system.state("bad")
     state = "" if reply is None else reply.state
-    return wrong if state == "failed" else [*wrong, f"shown as {shown}"]
+    return wrong if state == "failed" else [*wrong, f"shown as {state}"]
 
 
 @pytest.mark.parametrize("killed", [False, True], ids=["one leader", "leaders killed"])
@@ -82,7 +83,7 @@
         await asyncio.sleep(0.3)
         system.store.down = False
 
-    def crashed(vm: Vm) -> None:
+    def crash_and_lose_writes(vm: Vm) -> None:
         crash(vm)
         if len(ended) < UNRECORDED_LEADERS:
             system.store.down = True
