--- a/tests/jobs/test_crashing_tasks.py
+++ b/tests/jobs/test_crashing_tasks.py
@@ -1,9 +1,9 @@
 """A task that crashes its VMs is isolated and fails permanently instead of starting without end.
 
 A run that is lost with its VM is not a failure of its task, so nothing counted or bounded the
-restarts of such a task: it was started four times in a row under one leader, 0.03 s after each
-crash, and each crash took the ten to fifteen runs beside it along. The count of crashes is kept
-across changes of leader, and tasks that only ran beside it complete.
+restarts of such a task: it was started four times in a row under one leader, about 0.03 s after
+each crash, and each crash took the ten to fifteen runs beside it along. The count of crashes is
+kept across changes of leader, and tasks that only ran beside it complete.
 """
 
 import asyncio
--- a/tests/jobs/test_proofs.py
+++ b/tests/jobs/test_proofs.py
@@ -1,6 +1,6 @@
-"""A VM's next life shows that it lists its ends, by a run whose loss costs nothing.
+"""The next incarnation of a VM shows by a probe, whose loss costs nothing, if it lists completions.
 
-A message for the life before may come late and make it forget ends: nobody but the VM knows.
+A late message for the previous incarnation may make it forget completions, and only the VM knows.
 """
 
 import asyncio
@@ -18,35 +18,37 @@
 from tests.emulator.loop import run
 from tests.jobs.rig import CAPACITY, CORE, Rig, queue, spec
 
-NEXT = VmInfo("w0/7", "a0", "pool", CAPACITY, ("b", "r0"), instance="w0", born=7)
+NEXT_INCARNATION = VmInfo("w0/7", "a0", "pool", CAPACITY, ("b", "r0"), instance="w0", born=7)
 
 
-def _next_life(steps: tuple[StepSpec, ...] = (StepSpec(3, CORE),)) -> tuple[Rig, VmRow]:
-    """Return a later leader's rig, with jobs that wait, as its only VM has started again."""
-    former = Rig(vms=1)
-    former.commit()
+def _restarted_vm(steps: tuple[StepSpec, ...] = (StepSpec(3, CORE),)) -> tuple[Rig, VmRow]:
+    """Return the rig of a later leader, with waiting jobs, whose only VM has just restarted."""
+    previous = Rig(vms=1)
+    previous.commit()
     rig = Rig(0, 2)
-    rig.scheduler.load([Record(key, value) for key, value in former.store.items()])
+    rig.scheduler.load([Record(key, value) for key, value in previous.store.items()])
     for number, step in enumerate(steps):
         rig.accept(f"job{number}", spec(step))
     rig.scheduler.now()
-    rig.scheduler.other_life(rig.scheduler.state.vms["w0"], OtherLife(NEXT.name, NEXT.born), 0)
-    rig.scheduler.told(NEXT)
+    rig.scheduler.other_life(
+        rig.scheduler.state.vms["w0"], OtherLife(NEXT_INCARNATION.name, NEXT_INCARNATION.born), 0
+    )
+    rig.scheduler.told(NEXT_INCARNATION)
     rig.commit()
-    rig.listed.append(NEXT.name)
-    return rig, rig.scheduler.state.vms[NEXT.name]
+    rig.listed.append(NEXT_INCARNATION.name)
+    return rig, rig.scheduler.state.vms[NEXT_INCARNATION.name]
 
 
-def _first(rig: Rig) -> StartRun:
+def _first_start(rig: Rig) -> StartRun:
     rig.wait(0.1)
     rig.wait(0.1)
     (start,) = rig.started()
     return start
 
 
-def test_one_run_shows_that_a_next_life_lists_its_ends() -> None:
-    rig, row = _next_life()
-    start = _first(rig)
+def test_a_probe_shows_that_the_next_incarnation_lists_completions() -> None:
+    rig, row = _restarted_vm()
+    start = _first_start(rig)
     assert row.runs[(start.task, start.run)].proof
     assert row.deaf
     rig.run(start)
@@ -58,9 +60,9 @@
     assert len({start.task for start in rig.started()[1:]}) == 3
 
 
-def test_its_loss_is_no_end_and_its_task_runs_where_ends_are_listed() -> None:
-    rig, row = _next_life()
-    start = _first(rig)
+def test_a_lost_probe_is_no_completion_and_its_task_runs_on_a_reliable_vm() -> None:
+    rig, row = _restarted_vm()
+    start = _first_start(rig)
     rig.run(start)
     rig.hear_all()
     rig.running[row.name] = []
@@ -72,12 +74,12 @@
     rig.add_vms(1)
     rig.commit()
     rig.wait(0.3)
-    assert start.task in {again.task for again in rig.started()[1:]}
+    assert start.task in {restarted.task for restarted in rig.started()[1:]}
 
 
-def test_a_start_that_was_refused_is_tried_again_later() -> None:
-    rig, row = _next_life()
-    start = _first(rig)
+def test_a_refused_probe_is_repeated_later() -> None:
+    rig, row = _restarted_vm()
+    start = _first_start(rig)
     rig.scheduler.reconcile.not_started(row.name, start.task, start.run)
     rig.tick()
     assert rig.started() == [start]
@@ -87,24 +89,24 @@
     assert row.proofs == 2
 
 
-def test_a_life_that_was_feared_by_a_former_leader_may_show_it_too() -> None:
-    rig, _ = _next_life()
+def test_an_incarnation_found_unverified_by_a_previous_leader_is_probed() -> None:
+    rig, _ = _restarted_vm()
     rig.commit()
     later = Rig(0, 3)
     later.scheduler.load([Record(key, value) for key, value in rig.store.items()])
-    row = later.scheduler.state.vms[NEXT.name]
+    row = later.scheduler.state.vms[NEXT_INCARNATION.name]
     assert row.deaf
-    later.scheduler.told(NEXT)
-    later.listed.append(NEXT.name)
+    later.scheduler.told(NEXT_INCARNATION)
+    later.listed.append(NEXT_INCARNATION.name)
     for _ in range(2):
         later.commit()
         later.wait(0.1)
-    assert [start.vm for start in later.started()] == [NEXT.name]
+    assert [start.vm for start in later.started()] == [NEXT_INCARNATION.name]
 
 
-def test_members_of_one_gang_show_nothing_at_two_vms_at_once() -> None:
-    rig, row = _next_life((StepSpec(3, CORE, gang=True),))
-    other = msgspec.structs.replace(NEXT, name="w1/7", instance="w1", address="a1")
+def test_members_of_one_gang_do_not_probe_two_vms_at_once() -> None:
+    rig, row = _restarted_vm((StepSpec(3, CORE, gang=True),))
+    other = msgspec.structs.replace(NEXT_INCARNATION, name="w1/7", instance="w1", address="a1")
     rig.scheduler.told(other)
     rig.commit()
     second = rig.scheduler.state.vms[other.name]
@@ -115,8 +117,8 @@
     assert len(rig.started()) == 1
 
 
-def test_leave_is_asked_for_where_none_may_start_without() -> None:
-    rig, row = _next_life(())
+def test_advice_is_requested_for_a_probe_that_needs_a_ticket() -> None:
+    rig, row = _restarted_vm(())
     advised = queue("advised", advice=AdviceTerms(10.0, 1.0, 2000.0))
     rig.scheduler.configured(
         msgspec.structs.replace(rig.configuration, version=9, queues=(queue(), advised))
@@ -129,7 +131,7 @@
 
 
 class _Port:
-    """A VM that notes what it is called with."""
+    """A VM that records how it is called."""
 
     def __init__(self) -> None:
         self.holds: list[HoldCall] = []
@@ -147,30 +149,30 @@
         return CallError.NO_ANSWER
 
 
-def _calls(rig: Rig, port: Any) -> VmCalls:
-    noted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-    noted.set_result(None)
+def _vm_calls(rig: Rig, port: Any) -> VmCalls:
+    recorded: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+    recorded.set_result(None)
     rig.clock.monotonic = asyncio.get_running_loop().time  # type: ignore[method-assign]
     rig.scheduler.now()
     return VmCalls(
-        rig.scheduler, port, 3, lambda: True, lambda vm: None, lambda: None, lambda: noted
+        rig.scheduler, port, 3, lambda: True, lambda vm: None, lambda: None, lambda: recorded
     )
 
 
-def test_what_shows_it_is_leased_too_shortly_to_do_any_work() -> None:
+def test_the_lease_of_a_probe_is_too_short_for_any_work() -> None:
     async def scenario() -> None:
-        rig, row = _next_life()
-        start = _first(rig)
+        rig, row = _restarted_vm()
+        start = _first_start(rig)
         port = _Port()
-        calls = _calls(rig, port)
+        vm_calls = _vm_calls(rig, port)
         row.runs[(start.task, start.run)].state = RunState.SENT
         now = asyncio.get_running_loop().time()
         row.clock_at = row.heard_at = now
         row.clock_ms = now * 1000.0
         start = msgspec.structs.replace(start, not_after=now + 1.0)
         row.runs[(start.task, start.run)].settle_clock = row.clock_ms + 1_500.0
-        await calls._look(row)
-        await calls._start(start)
+        await vm_calls._look(row)
+        await vm_calls._start(start)
         assert port.holds[0].until_ms == 0
         assert 0 < port.untils[0] - row.clock_ms <= PROOF_LEASE * 1000.0
 
@@ -178,15 +180,15 @@
 
 
 @pytest.mark.parametrize("acked", [0, 1])
-def test_a_number_for_one_life_leases_nothing_at_the_next(acked: int) -> None:
+def test_an_acknowledgement_does_not_extend_the_lease(acked: int) -> None:
     async def scenario() -> None:
         rig = Rig(vms=1)
         port = _Port()
-        calls = _calls(rig, port)
+        vm_calls = _vm_calls(rig, port)
         row = rig.scheduler.state.vms["w0"]
         row.heard_at = asyncio.get_running_loop().time()
         row.acked_end = acked
-        await calls._look(row)
+        await vm_calls._look(row)
         (call,) = port.holds
         assert (call.acked_end, call.until_ms > 0) == (acked, not acked)
 
