--- a/tests/jobs/test_renewal.py
+++ b/tests/jobs/test_renewal.py
@@ -1,4 +1,4 @@
-"""Tickets of steps that wait for room are renewed ahead of need, over lanes that nobody needs."""
+"""Tickets of waiting steps are renewed before they are needed, over call slots that are free."""
 
 from sablemount.jobs.actions import AskAdvice
 from sablemount.jobs.model import AdviceTerms, Shape, StepSpec
@@ -10,10 +10,10 @@
 VALID_MS = 2000.0
 
 
-def _waiting(lanes: int) -> tuple[Rig, AskAdvice]:
-    """Return a rig whose only good VM is full, and the call for advice of the step that waits."""
+def _waiting(slots: int) -> tuple[Rig, AskAdvice]:
+    """Return a rig whose only good VM is full, and the call for advice of the waiting step."""
     rig = Rig(vms=2, queues=(queue(), SLOW))
-    rig.scheduler.advice.set_lanes({f"m{number}" for number in range(lanes)})
+    rig.scheduler.advice.set_lanes({f"m{number}" for number in range(slots)})
     rig.accept("full", spec(StepSpec(2, WHOLE, expected_ms=9000.0)))
     rig.tick()
     rig.hold_all()
@@ -25,7 +25,7 @@
 
 
 def test_tickets_are_renewed_before_they_lapse() -> None:
-    rig, first = _waiting(lanes=6)
+    rig, first = _waiting(slots=6)
     rig.tick(0.5)
     assert rig.asked() == [first]
     rig.tick(0.5)
@@ -34,13 +34,13 @@
     assert renewal.vms == ("w0",)
 
 
-def test_room_that_comes_is_used_at_once_with_a_renewed_ticket() -> None:
-    rig, _ = _waiting(lanes=6)
+def test_freed_capacity_is_used_at_once_with_a_renewed_ticket() -> None:
+    rig, _ = _waiting(slots=6)
     rig.tick(1.0)
     renewal = rig.asked()[-1]
     rig.tick(0.8)
-    answered = {"w0": "second"}
-    rig.scheduler.advice.answered(renewal.lane, renewal.step, renewal.vms, answered, VALID_MS)
+    tickets = {"w0": "second"}
+    rig.scheduler.advice.answered(renewal.lane, renewal.step, renewal.vms, tickets, VALID_MS)
     rig.tick(1.0)
     rig.end(next(start for start in rig.started() if start.vm == "w0"), "done")
     rig.hear_all()
@@ -48,7 +48,7 @@
     assert rig.started()[-1].ticket == "second"
 
 
-def test_renewals_leave_lanes_to_others() -> None:
-    rig, first = _waiting(lanes=1)
+def test_renewals_leave_call_slots_to_others() -> None:
+    rig, first = _waiting(slots=1)
     rig.tick(1.9)
     assert rig.asked() == [first]
--- a/tests/jobs/test_rooms.py
+++ b/tests/jobs/test_rooms.py
@@ -1,4 +1,4 @@
-"""Nothing is started on a VM by an old word of its room, unless it guards that."""
+"""Nothing is started on a VM by outdated information on its capacity, unless the VM guards it."""
 
 import asyncio
 
@@ -12,9 +12,9 @@
 from tests.emulator.vm_faults import resize
 from tests.jobs.rig import CAPACITY, CORE, Rig, spec
 
-DOWN = 12.0
-"""Seconds without the store, some of them with VMs that have shrunk for longer than they may be
-started over their room."""
+OUTAGE_S = 12.0
+"""Seconds without the store, with VMs that have shrunk for longer than starts beyond their capacity
+are tolerated during some of them."""
 
 
 def _rig(guarded: bool = False) -> Rig:
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("guarded", [False, True], ids=["unguarded", "guarded"])
-def test_nothing_is_started_by_an_old_word_where_room_is_not_guarded(guarded: bool) -> None:
+def test_nothing_is_started_on_outdated_capacity_unless_it_is_guarded(guarded: bool) -> None:
     rig = _rig(guarded)
     _wait(rig, ROOM_FRESH + 0.5)
     rig.accept("a", spec(StepSpec(1, CORE)))
@@ -48,8 +48,8 @@
     assert len(rig.started()) == 1
 
 
-def test_an_entry_that_is_not_written_anew_counts_in_the_end() -> None:
-    """The platform drops it if its VM does not reach the store."""
+def test_an_entry_that_is_not_rewritten_is_valid_in_the_end() -> None:
+    """The platform removes an entry whose VM does not reach the store."""
     rig = _rig()
     _wait(rig, ROOM_FRESH + 0.5)
     rig.accept("a", spec(StepSpec(1, CORE)))
@@ -59,7 +59,7 @@
     assert len(rig.started()) == 1
 
 
-def test_an_order_does_not_outlive_what_is_known_of_the_room() -> None:
+def test_a_start_request_does_not_outlive_the_known_capacity() -> None:
     rig = _rig()
     _wait(rig, ROOM_FRESH - 0.5)
     rig.accept("a", spec(StepSpec(1, CORE)))
@@ -69,8 +69,8 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_vms_that_shrink_in_an_outage_are_not_started_over_their_room(seed: int) -> None:
-    """All VMs shrink as the store goes down, and nobody can read their entries."""
+def test_nothing_is_started_beyond_the_capacity_of_vms_that_shrink_in_an_outage(seed: int) -> None:
+    """All VMs shrink as the store fails, and nobody can read their entries."""
 
     async def scenario() -> list[str]:
         system = System(seed, vms=6)
@@ -82,7 +82,7 @@
         system.store.down = True
         for vm in list(system.cell.vms.values()):
             resize(system, vm, Shape(CAPACITY.cores // 4, CAPACITY.memory))
-        await asyncio.sleep(DOWN)
+        await asyncio.sleep(OUTAGE_S)
         for vm in list(system.cell.vms.values()):
             resize(system, vm, CAPACITY)
         system.store.down = False
--- a/tests/jobs/test_starts.py
+++ b/tests/jobs/test_starts.py
@@ -1,4 +1,4 @@
-"""What may have been started before is ordered once the store has it, and not sooner."""
+"""A task that may have been started before is requested only after the store has recorded it."""
 
 import msgspec
 import pytest
@@ -16,15 +16,15 @@
 
 TASK = "a.0.0.0"
 GANG = StepSpec(2, Shape(9_000, 1_000), gang=True)
-"""Each member has a VM for itself."""
+"""Each member needs a VM of its own."""
 
 
-def _orders(rig: Rig, seconds: float = 0.01) -> list[StartRun]:
+def _start_requests(rig: Rig, seconds: float = 0.01) -> list[StartRun]:
     return [action for action in rig.tick(seconds) if isinstance(action, StartRun)]
 
 
-def _lost(vms: int = 3) -> tuple[Rig, str]:
-    """Have a job's task run and be lost with its VM; return that too."""
+def _lose_task(vms: int = 3) -> tuple[Rig, str]:
+    """Run a job's task and lose it with its VM; return the VM too."""
     rig = Rig(vms)
     rig.accept("a", spec(StepSpec(1, CORE)))
     rig.run_all()
@@ -36,8 +36,8 @@
     return rig, vm
 
 
-def _former(step: StepSpec) -> Rig:
-    """Return a later leader that finds a job accepted, of which nothing runs."""
+def _later_leader(step: StepSpec) -> Rig:
+    """Return a later leader that has loaded an accepted job without any runs."""
     rig = Rig(vms=3)
     rig.accept("a", spec(step))
     later = rig.successor()
@@ -46,32 +46,32 @@
     return later
 
 
-def test_the_first_order_of_a_task_waits_for_nothing() -> None:
+def test_the_first_start_of_a_task_is_not_delayed() -> None:
     rig = Rig()
     rig.notes_at_once = False
     rig.accept("a", spec(StepSpec(1, CORE)))
-    assert [start.task for start in _orders(rig)] == [TASK]
+    assert [start.task for start in _start_requests(rig)] == [TASK]
 
 
-def test_a_task_that_was_lost_is_ordered_once_its_crash_and_its_vm_are_noted() -> None:
-    rig, vm = _lost()
-    assert _orders(rig) == []
+def test_a_lost_task_is_requested_once_its_crash_and_its_vm_are_recorded() -> None:
+    rig, vm = _lose_task()
+    assert _start_requests(rig) == []
     rig.commit()
-    (order,) = _orders(rig)
-    assert order.vm != vm
-    assert decode_vm(rig.store[VM_PREFIX + order.vm]).suspects == (TASK,)
+    (start,) = _start_requests(rig)
+    assert start.vm != vm
+    assert decode_vm(rig.store[VM_PREFIX + start.vm]).suspects == (TASK,)
     assert decode_progress(rig.store[PROGRESS_PREFIX + "a"]).crashes == {"0.0.0": (vm,)}
 
 
-def test_what_a_former_leader_accepted_is_ordered_once_it_is_noted() -> None:
-    rig = _former(StepSpec(1, CORE))
-    assert _orders(rig) == []
+def test_a_job_of_a_previous_leader_is_requested_once_its_start_is_recorded() -> None:
+    rig = _later_leader(StepSpec(1, CORE))
+    assert _start_requests(rig) == []
     rig.commit()
-    (order,) = _orders(rig)
-    assert decode_vm(rig.store[VM_PREFIX + order.vm]).suspects == (TASK,)
+    (start,) = _start_requests(rig)
+    assert decode_vm(rig.store[VM_PREFIX + start.vm]).suspects == (TASK,)
 
 
-def test_what_was_lost_with_a_vm_that_left_as_planned_waits_for_nothing() -> None:
+def test_a_task_lost_with_a_vm_that_left_as_planned_is_not_delayed() -> None:
     rig = Rig()
     rig.accept("a", spec(StepSpec(1, CORE)))
     rig.run_all()
@@ -81,22 +81,22 @@
     rig.scheduler.told(info)
     rig.listed.remove(vm)
     rig.scheduler.vms.died(vm)
-    assert [start.task for start in _orders(rig)] == [TASK]
+    assert [start.task for start in _start_requests(rig)] == [TASK]
 
 
-def test_an_order_is_valid_for_its_whole_time_from_when_it_is_given() -> None:
-    rig, _ = _lost()
+def test_a_start_request_is_valid_for_its_whole_time_once_it_is_sent() -> None:
+    rig, _ = _lose_task()
     rig.tick()
     rig.clock.time += 1.4
     rig.hear_all()
     rig.commit()
-    (order,) = _orders(rig)
-    valid = rig.scheduler.state.settings.start_valid
-    assert order.not_after == pytest.approx(rig.clock.time + valid)
+    (start,) = _start_requests(rig)
+    valid_s = rig.scheduler.state.settings.start_valid
+    assert start.not_after == pytest.approx(rig.clock.time + valid_s)
 
 
-def test_a_store_that_is_silent_keeps_no_room_for_what_waits_for_it() -> None:
-    rig, _ = _lost(vms=2)
+def test_no_capacity_is_reserved_for_starts_that_wait_for_a_silent_store() -> None:
+    rig, _ = _lose_task(vms=2)
     rig.tick()
     (row,) = (row for row in rig.scheduler.state.vms.values() if not row.gone)
     assert row.room.cores == CAPACITY.cores - CORE.cores
@@ -104,54 +104,54 @@
     assert rig.scheduler.tick(noting=False) == []
     assert row.room.cores == CAPACITY.cores
     assert not row.runs
-    # It is tried again as soon as the store answers.
+    # The start is tried again as soon as the store answers.
     rig.scheduler.tick(noting=True)
     rig.commit()
-    assert [start.task for start in _orders(rig)] == [TASK]
+    assert [start.task for start in _start_requests(rig)] == [TASK]
 
 
 @pytest.mark.parametrize("why", ["drains", "silent", "crashed"])
-def test_a_gang_is_ordered_whole_or_not_at_all(why: str) -> None:
-    rig = _former(GANG)
+def test_a_gang_is_requested_completely_or_not_at_all(why: str) -> None:
+    rig = _later_leader(GANG)
     rig.tick()
-    held = [row for row in rig.scheduler.state.vms.values() if row.runs]
-    assert len(held) == 2
+    used = [row for row in rig.scheduler.state.vms.values() if row.runs]
+    assert len(used) == 2
     if why == "drains":
-        rig.scheduler.told(msgspec.structs.replace(held[0].info, draining=True))
+        rig.scheduler.told(msgspec.structs.replace(used[0].info, draining=True))
     elif why == "silent":
         rig.clock.time += 3.0
-        rig.hear(held[1].name)
+        rig.hear(used[1].name)
     else:
-        rig.listed.remove(held[0].name)
-        rig.scheduler.vms.died(held[0].name)
+        rig.listed.remove(used[0].name)
+        rig.scheduler.vms.died(used[0].name)
     rig.commit()
-    rig.listed = [name for name in rig.listed if name != held[0].name]
-    first = _orders(rig)
+    rig.listed = [name for name in rig.listed if name != used[0].name]
+    first = _start_requests(rig)
     assert first == []
-    # Where the other VMs have room for all of it, it is placed there anew.
+    # Once the other VMs have capacity for the whole gang, it is placed there.
     rig.hear_all()
     rig.tick(0.3)
     rig.commit()
-    orders = _orders(rig)
-    assert len(orders) == 2
-    assert held[0].name not in {order.vm for order in orders}
+    starts = _start_requests(rig)
+    assert len(starts) == 2
+    assert used[0].name not in {start.vm for start in starts}
     task = rig.scheduler.state.jobs["a"].steps[(0, 0)].tasks[0]
     assert task.crashes == []
 
 
-def test_a_job_that_is_cancelled_meanwhile_is_not_ordered_and_has_nothing_to_stop() -> None:
-    rig = _former(StepSpec(1, CORE))
+def test_a_job_cancelled_before_its_request_needs_no_stop() -> None:
+    rig = _later_leader(StepSpec(1, CORE))
     rig.tick()
     rig.scheduler.cancel("a")
     assert not any(row.runs for row in rig.scheduler.state.vms.values())
     rig.commit()
-    assert _orders(rig) == []
+    assert _start_requests(rig) == []
     assert rig.stopped() == []
 
 
 def test_a_vm_is_let_go_only_once_the_crash_that_it_stood_for_is_noted() -> None:
-    """What a crash counts for stands with the VM until the job's own record has it."""
-    rig, vm = _lost()
+    """The tasks that a crash counts for stay in the VM's record until the job's record has it."""
+    rig, vm = _lose_task()
     rig.scheduler.state.settings = msgspec.structs.replace(
         rig.scheduler.state.settings, call_bytes=100
     )
@@ -161,8 +161,8 @@
     assert decode_progress(rig.store[PROGRESS_PREFIX + "a"]).crashes == {"0.0.0": (vm,)}
 
 
-def _crashed_under(rig: Rig, name: str, vms: list[str]) -> None:
-    """Have VMs crashed under a job's task, as a former leader has noted."""
+def _add_crashes(rig: Rig, name: str, vms: list[str]) -> None:
+    """Let VMs have crashed under a job's task, as recorded by a previous leader."""
     job = rig.scheduler.state.jobs[name]
     job.watched = True
     job.steps[(0, 0)].tasks[0].crashes = vms
@@ -170,28 +170,28 @@
 
 
 def test_a_vm_that_had_crashed_before_the_order_does_not_count() -> None:
-    """Three VMs have crashed beside a task, and a fourth 0.4 s before it would be started there.
+    """Three VMs have crashed under a task; a fourth crashes 0.4 s before it would start there.
 
-    Its last word is as old as is usual, since a look waits for 0.7 s, and it resets nothing. An
-    order without an answer then looks the same as one that crashes the VM 10 ms later.
+    Its last report has the usual age, since a poll waits for 0.7 s, and nothing resets connections.
+    An unanswered start request then looks like one that crashes the VM 10 ms later.
     """
     rig = Rig(vms=3)
     rig.accept("a", spec(StepSpec(1, CORE)))
-    _crashed_under(rig, "a", ["x", "y", "z"])
+    _add_crashes(rig, "a", ["x", "y", "z"])
     rig.clock.time += 0.4
     rig.listed = ["w1", "w2"]
     rig.hear_all()
     crashed = rig.scheduler.state.vms["w0"]
-    # The emptiest VM is chosen, which is the one that has crashed.
+    # The VM with the most free capacity is chosen, which is the one that has crashed.
     rig.scheduler.state.vms["w1"].room = rig.scheduler.state.vms["w2"].room = CORE
     for _ in range(80):
         rig.tick(0.05)
         rig.hear_all()
         if rig.started():
             break
-    (order,) = rig.started()
-    rig.run(order)
+    (start,) = rig.started()
+    rig.run(start)
     rig.hear_all()
     rig.scheduler.vms.died(crashed.name)
-    assert order.vm != crashed.name
+    assert start.vm != crashed.name
     assert rig.scheduler.state.jobs["a"].state is not JobState.FAILED
