--- a/tests/jobs/test_lives.py
+++ b/tests/jobs/test_lives.py
@@ -1,12 +1,11 @@
-"""VMs start again under the ids that they had, and hold and know nothing of before.
-
-What must run once ran twice, and a task was started six times for three failures. A VM that had
-started again was taken for its earlier life: its answers were passed over until its clock was
-beyond the last one's, its ends, numbered from 1 again, counted as seen, and each look acknowledged
-them with the number that its earlier life had come to. What had ended there was gone without a
-trace and was started again elsewhere. The lines that settled it: a placement on the VM 2.5 s after
-it had started again, 21 times "run not there" of that VM alone, one at each look, and no line of an
-end.
+"""VMs restart under their ids, and hold and know nothing of what came before.
+
+A restarted VM was mistaken for its previous incarnation: its answers were ignored until its clock
+was past that one's, and its completions, numbered from 1 again, counted as already seen and were
+acknowledged with the number that the previous incarnation had reached. Completed runs were lost
+("run not there" 21 times, once per poll, and no completion, after a placement 2.5 s after the
+restart) and started again elsewhere: a task that must run once ran twice, and one was started six
+times for three failures.
 """
 
 import asyncio
@@ -17,28 +16,28 @@
 from tests.emulator.system import System
 
 RESTARTS = 3
-"""Times that each VM starts again."""
-BETWEEN = 4.0
+"""Times that each VM restarts."""
+RESTART_INTERVAL_S = 4.0
 
 
 async def _restart_all(system: System) -> None:
     for _ in range(RESTARTS):
-        await asyncio.sleep(BETWEEN)
+        await asyncio.sleep(RESTART_INTERVAL_S)
         for vm in [vm for vm in system.cell.vms.values() if vm.up]:
             system.restart_vm(vm, 0.7)
             await asyncio.sleep(0.3)
 
 
 async def _scenario(seed: int, fail_share: float) -> list[str]:
-    """Hand in short jobs while all VMs start again in turn; return what is wrong in the end."""
+    """Submit short jobs while all VMs restart in turn; return what is wrong at the end."""
     system = System(seed, vms=4)
     system.cell.seconds = 0.3
     system.cell.fail_share = fail_share
     system.start_all()
     await asyncio.sleep(1.0)
-    again = asyncio.create_task(_restart_all(system))
+    restarts = asyncio.create_task(_restart_all(system))
     await system.traffic("a", 200, 0.1)
-    await again
+    await restarts
     await system.settle(60.0)
     return await system.faults()
 
--- a/tests/jobs/test_start_validity.py
+++ b/tests/jobs/test_start_validity.py
@@ -1,9 +1,9 @@
-"""A start that can still be carried out keeps its room and its task.
+"""A start that can still be carried out keeps its capacity and its task.
 
-How long a start is valid on its VM's clock is worked out when it is sent, from what is known of
-that clock then. From when on the VM's silence about the run counts as proof that it will never be
-there is worked out when it is placed. A word of the VM that comes in between may show that its
-clock is further on; the start then must not be valid for longer than the proof takes it to be.
+How long a start is valid on its VM's clock is computed when it is sent, from what is known of that
+clock then. The time from which the absence of the run from a report shows that it will never be
+there is computed when the run is placed. A report in between may show that the clock is further on;
+the start must then not be valid beyond that time.
 """
 
 import asyncio
@@ -36,17 +36,19 @@
         rig.accept("job", spec(StepSpec(1, CORE)))
         (start,) = [action for action in rig.tick() if hasattr(action, "not_after")]
         port = _Port()
-        noted = asyncio.get_running_loop().create_future
-        calls = VmCalls(rig.scheduler, port, 1, lambda: True, lambda vm: None, lambda: None, noted)
+        recorded = asyncio.get_running_loop().create_future
+        vm_calls = VmCalls(
+            rig.scheduler, port, 1, lambda: True, lambda vm: None, lambda: None, recorded
+        )
         row = rig.scheduler.state.vms["w0"]
-        (taken,) = row.runs.values()
-        calls.start(start)
-        # The VM's answer to a look, on its way for long, comes just before the order goes out.
+        (placed,) = row.runs.values()
+        vm_calls.start(start)
+        # A poll's answer that was long on its way arrives just before the start request is sent.
         clock_ms = rig.clock.time * 1000.0 + ahead_ms
         rig.scheduler.heard(Heard("w0", rig.clock.time, clock_ms, (), ()))
         await asyncio.sleep(0.01)
         assert port.until
-        assert max(port.until) <= taken.settle_clock
-        calls.close()
+        assert max(port.until) <= placed.settle_clock
+        vm_calls.close()
 
     run(scenario())
--- a/tests/jobs/test_trials.py
+++ b/tests/jobs/test_trials.py
@@ -1,4 +1,4 @@
-"""Where tasks start under which VMs have crashed."""
+"""Where tasks under which VMs have crashed are started."""
 
 from sablemount.jobs.model import Shape, StepSpec
 from sablemount.jobs.systems.trials import PATIENCE, TRIAL_TIME
@@ -8,8 +8,8 @@
 HALF = Shape(8_000, 1_000)
 
 
-def _suspected(rig: Rig, name: str, crashes: int, step: StepSpec | None = None) -> JobRow:
-    """Have a job accepted under whose tasks some VMs have crashed."""
+def _submit_suspect(rig: Rig, name: str, crashes: int, step: StepSpec | None = None) -> JobRow:
+    """Submit a job under whose tasks some VMs have crashed."""
     rig.scheduler.state.settled_at = rig.clock.time
     row = rig.accept(name, spec(step or StepSpec(1, CORE)))
     rig.scheduler.state.suspected[name] = row
@@ -18,90 +18,90 @@
     return row
 
 
-def _vms(row: JobRow) -> list[str]:
+def _vms_of(row: JobRow) -> list[str]:
     return [run.vm for step in row.steps.values() for task in step.tasks for run in task.runs]
 
 
 def test_suspects_of_different_jobs_start_on_different_vms() -> None:
     rig = Rig(vms=4)
-    jobs = [_suspected(rig, name, 1) for name in ("a", "b", "c")]
+    jobs = [_submit_suspect(rig, name, 1) for name in ("a", "b", "c")]
     rig.tick()
-    assert len({vm for job in jobs for vm in _vms(job)}) == 3
+    assert len({vm for job in jobs for vm in _vms_of(job)}) == 3
 
 
 def test_suspects_of_one_job_may_start_together() -> None:
     rig = Rig(vms=1)
-    job = _suspected(rig, "a", 1, StepSpec(3, CORE))
+    job = _submit_suspect(rig, "a", 1, StepSpec(3, CORE))
     rig.tick()
-    assert _vms(job) == ["w0"] * 3
+    assert _vms_of(job) == ["w0"] * 3
 
 
-def test_a_suspect_starts_beside_another_once_that_is_at_work() -> None:
+def test_a_suspect_starts_beside_another_that_has_been_at_work_for_a_while() -> None:
     rig = Rig(vms=1)
-    _suspected(rig, "a", 1)
+    _submit_suspect(rig, "a", 1)
     rig.run_all()
-    second = _suspected(rig, "b", 1)
+    second = _submit_suspect(rig, "b", 1)
     rig.tick()
-    assert _vms(second) == []
+    assert _vms_of(second) == []
     for _ in range(3):
         rig.wait(0.3)
-    assert _vms(second) == ["w0"]
+    assert _vms_of(second) == ["w0"]
 
 
-def test_a_vm_on_trial_takes_nothing_of_other_jobs_until_the_run_has_ended() -> None:
+def test_an_isolated_vm_takes_nothing_of_other_jobs_until_the_run_has_ended() -> None:
     rig = Rig(vms=2)
-    tried = _suspected(rig, "a", 2)
+    isolated = _submit_suspect(rig, "a", 2)
     rig.run_all()
-    (vm,) = _vms(tried)
+    (vm,) = _vms_of(isolated)
     others = rig.accept("b", spec(StepSpec(40, CORE)))
     rig.run_all()
-    assert vm not in _vms(others)
+    assert vm not in _vms_of(others)
     rig.end(next(start for start in rig.started() if start.task == "a.0.0.0"), "done")
     rig.wait(0.3)
     rig.wait(0.3)
-    assert vm in _vms(others)
+    assert vm in _vms_of(others)
 
 
-def test_a_trial_waits_until_what_runs_beside_it_is_at_work() -> None:
+def test_isolation_waits_until_other_runs_have_been_at_work_for_a_while() -> None:
     rig = Rig(vms=1)
     rig.accept("b", spec(StepSpec(1, CORE)))
     rig.run_all()
-    tried = _suspected(rig, "a", 2)
+    isolated = _submit_suspect(rig, "a", 2)
     rig.tick()
-    assert _vms(tried) == []
+    assert _vms_of(isolated) == []
     for _ in range(3):
         rig.wait(0.3)
-    assert _vms(tried) == ["w0"]
+    assert _vms_of(isolated) == ["w0"]
 
 
-def test_one_that_finds_no_vm_for_a_trial_starts_all_the_same() -> None:
+def test_a_task_that_finds_no_vm_for_isolation_starts_without() -> None:
     rig = Rig(vms=1)
-    _suspected(rig, "a", 2, StepSpec(1, HALF))
+    _submit_suspect(rig, "a", 2, StepSpec(1, HALF))
     rig.run_all()
-    second = _suspected(rig, "b", 2, StepSpec(1, HALF))
+    second = _submit_suspect(rig, "b", 2, StepSpec(1, HALF))
     rig.wait(0.6)
-    assert _vms(second) == []
+    assert _vms_of(second) == []
     rig.end(next(start for start in rig.started() if start.task == "a.0.0.0"), "done")
     for _ in range(int(PATIENCE / 0.3) + 1):
         rig.wait(0.3)
-    assert _vms(second) == ["w0"]
+    assert _vms_of(second) == ["w0"]
 
 
-def test_only_a_part_of_the_vms_is_on_trial_at_once() -> None:
+def test_only_a_share_of_the_vms_is_isolated_at_once() -> None:
     rig = Rig(vms=8)
     for number in range(6):
-        _suspected(rig, f"a{number}", 2)
+        _submit_suspect(rig, f"a{number}", 2)
     rig.tick()
     assert sum(1 for row in rig.scheduler.state.vms.values() if row.trial) == 2
 
 
-def test_a_gang_gets_vms_for_all_its_members_on_trial() -> None:
+def test_a_gang_gets_isolated_vms_for_all_its_members() -> None:
     rig = Rig(vms=16)
     step = StepSpec(4, Shape(CAPACITY.cores // 2, 1_000), gang=True)
-    job = _suspected(rig, "a", 2, step)
+    job = _submit_suspect(rig, "a", 2, step)
     rig.tick()
-    assert len(_vms(job)) == 4
-    assert len(set(_vms(job))) == 2
+    assert len(_vms_of(job)) == 4
+    assert len(set(_vms_of(job))) == 2
 
 
 def test_nothing_is_started_where_nothing_listens() -> None:
@@ -110,18 +110,18 @@
     rig.scheduler.vms.refused(state.vms["w0"])
     job = rig.accept("a", spec(StepSpec(20, CORE)))
     rig.tick()
-    assert set(_vms(job)) == {"w1"}
+    assert set(_vms_of(job)) == {"w1"}
     rig.wait(0.3)
-    assert "w0" in _vms(job)
+    assert "w0" in _vms_of(job)
 
 
-def test_a_task_that_has_long_been_at_work_holds_its_vm_for_nobody() -> None:
+def test_a_task_that_has_long_been_at_work_does_not_isolate_its_vm() -> None:
     rig = Rig(vms=1)
-    tried = _suspected(rig, "a", 2, StepSpec(1, CORE, lasting=True))
+    isolated = _submit_suspect(rig, "a", 2, StepSpec(1, CORE, lasting=True))
     rig.run_all()
     others = rig.accept("b", spec(StepSpec(1, CORE)))
     rig.wait(TRIAL_TIME / 2)
-    assert (_vms(tried), _vms(others)) == (["w0"], [])
+    assert (_vms_of(isolated), _vms_of(others)) == (["w0"], [])
     rig.wait(TRIAL_TIME / 2)
     rig.wait(0.3)
-    assert _vms(others) == ["w0"]
+    assert _vms_of(others) == ["w0"]
--- a/tests/jobs/test_vms.py
+++ b/tests/jobs/test_vms.py
@@ -1,4 +1,4 @@
-"""VMs whose entries are gone from the list."""
+"""VMs whose entries are missing from the list, and VMs that leave."""
 
 import msgspec
 import pytest
@@ -8,8 +8,8 @@
 from tests.jobs.rig import CORE, Rig, spec
 
 
-def _lapsed(seconds: float) -> Rig:
-    """Return a rig whose only VM has had no entry for some seconds, though it is heard."""
+def _lapsed_entry(seconds: float) -> Rig:
+    """Return a rig whose only VM reports but has had no entry for some seconds."""
     rig = Rig(vms=1)
     rig.scheduler.vms.left_list("w0")
     rig.clock.time += seconds
@@ -18,20 +18,20 @@
 
 
 def test_a_vm_whose_entry_has_just_lapsed_still_gets_work() -> None:
-    rig = _lapsed(RELISTED_WITHIN - 0.2)
+    rig = _lapsed_entry(RELISTED_WITHIN - 0.2)
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
     assert len(rig.started()) == 1
 
 
-def test_a_vm_whose_entry_does_not_come_back_is_taken_as_gone() -> None:
-    rig = _lapsed(RELISTED_WITHIN + 0.2)
+def test_a_vm_whose_entry_does_not_return_gets_no_work() -> None:
+    rig = _lapsed_entry(RELISTED_WITHIN + 0.2)
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
     assert rig.started() == []
 
 
-def test_a_vm_missing_from_a_whole_list_is_taken_as_gone() -> None:
+def test_a_vm_missing_from_a_complete_list_gets_no_work() -> None:
     rig = Rig(vms=1)
     rig.scheduler.listed([])
     rig.scheduler.listed([])
@@ -42,8 +42,8 @@
     assert rig.started() == []
 
 
-def test_a_vm_whose_entry_comes_back_gets_work_again() -> None:
-    rig = _lapsed(RELISTED_WITHIN + 0.2)
+def test_a_vm_whose_entry_returns_gets_work_again() -> None:
+    rig = _lapsed_entry(RELISTED_WITHIN + 0.2)
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
     rig.scheduler.told(rig.scheduler.state.vms["w0"].info)
@@ -52,10 +52,10 @@
 
 
 def test_a_vm_known_from_a_record_only_may_be_used_until_a_list_was_read() -> None:
-    first = Rig(vms=1)
+    previous = Rig(vms=1)
     later = Rig(0, 2)
     later.scheduler.load([])
-    later.scheduler.told(first.scheduler.state.vms["w0"].info)
+    later.scheduler.told(previous.scheduler.state.vms["w0"].info)
     later.scheduler.state.vms["w0"].listed = False
     later.listed = ["w0"]
     later.commit()
@@ -66,11 +66,11 @@
     assert len(later.started()) == 1
 
 
-def test_a_vm_that_drains_gets_no_work_though_an_old_list_shows_it_well() -> None:
+def test_a_draining_vm_gets_no_work_though_an_outdated_list_shows_it_healthy() -> None:
     rig = Rig(vms=1)
-    well = rig.scheduler.state.vms["w0"].info
-    rig.scheduler.told(msgspec.structs.replace(well, draining=True))
-    rig.scheduler.listed([well])
+    healthy = rig.scheduler.state.vms["w0"].info
+    rig.scheduler.told(msgspec.structs.replace(healthy, draining=True))
+    rig.scheduler.listed([healthy])
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
     assert rig.started() == []
@@ -102,8 +102,8 @@
     assert "w/w0" in rig.store
 
 
-def _drained(notice: float, draining: bool = True) -> Rig:
-    """Return a rig one of whose two VMs drains, with a run, and will leave after some seconds."""
+def _draining_vm(notice_s: float, draining: bool = True) -> Rig:
+    """Return a rig where one of two VMs drains with a run on it, and leaves after some seconds."""
     rig = Rig(vms=2)
     rig.accept("job", spec(StepSpec(1, CORE, expected_ms=9000.0)))
     rig.tick()
@@ -112,13 +112,13 @@
     rig.hear_all()
     info = rig.scheduler.state.vms[start.vm].info
     if draining:
-        rig.scheduler.told(msgspec.structs.replace(info, draining=True, leaves_in=notice))
+        rig.scheduler.told(msgspec.structs.replace(info, draining=True, leaves_in=notice_s))
     rig.listed.remove(start.vm)
     return rig
 
 
-def _refuses(rig: Rig, seconds: float) -> int:
-    """Let a VM refuse connections for some seconds; return how many starts there have been."""
+def _refuse_connections(rig: Rig, seconds: float) -> int:
+    """Let a VM refuse connections for some seconds; return the number of starts so far."""
     vm = rig.started()[0].vm
     for _ in range(int(seconds / 0.1)):
         rig.hear_all()
@@ -130,20 +130,20 @@
     return len(rig.started())
 
 
-def test_what_ran_on_a_vm_that_has_left_as_it_said_starts_elsewhere_at_once() -> None:
-    rig = _drained(notice=0.2)
-    assert _refuses(rig, 0.8) == 2
-    first, second = rig.started()
-    assert (first.task, first.vm) == (second.task, "w0" if second.vm == "w1" else "w1")
+def test_runs_of_a_vm_that_has_left_as_announced_start_elsewhere_at_once() -> None:
+    rig = _draining_vm(notice_s=0.2)
+    assert _refuse_connections(rig, 0.8) == 2
+    previous, second = rig.started()
+    assert (previous.task, previous.vm) == (second.task, "w0" if second.vm == "w1" else "w1")
 
 
-def test_a_vm_that_refuses_before_its_time_or_without_having_drained_may_still_run_things() -> None:
-    assert _refuses(_drained(notice=5.0), 0.8) == 1
-    assert _refuses(_drained(notice=0.0, draining=False), 0.8) == 1
+def test_a_vm_that_refuses_connections_early_or_without_draining_may_still_run_tasks() -> None:
+    assert _refuse_connections(_draining_vm(notice_s=5.0), 0.8) == 1
+    assert _refuse_connections(_draining_vm(notice_s=0.0, draining=False), 0.8) == 1
 
 
-def test_a_vm_past_its_time_that_is_only_silent_may_still_run_things() -> None:
-    rig = _drained(notice=0.2)
+def test_a_silent_vm_past_its_announced_time_may_still_run_tasks() -> None:
+    rig = _draining_vm(notice_s=0.2)
     vm = rig.started()[0].vm
     for _ in range(8):
         rig.hear_all()
@@ -153,7 +153,7 @@
     assert len(rig.started()) == 1
 
 
-def test_what_is_lost_with_a_vm_is_told_the_latest_start_first(
+def test_runs_lost_with_a_vm_are_logged_latest_start_first(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     rig = Rig(vms=1)
