--- a/src/sablemount/jobs/systems/vms.py
+++ b/src/sablemount/jobs/systems/vms.py
@@ -395,8 +395,8 @@
     def died(self, name: str, why: str = ANOTHER_INCARNATION, heir: VmRow | None = None) -> None:
         """Record that an incarnation has certainly ended, and how that is known.
 
-        Start requests that it has not shown to have received may have reached ``heir``, the next
-        one.
+        Start requests that it has not shown to have received may have reached ``successor``, the
+        next incarnation.
         """
         row = self._state.vms.get(name)
         if row is None or row.gone:
--- a/tests/jobs/test_vms.py
+++ b/tests/jobs/test_vms.py
@@ -133,8 +133,8 @@
 def test_runs_of_a_vm_that_has_left_as_announced_start_elsewhere_at_once() -> None:
     rig = _draining_vm(notice_s=0.2)
     assert _refuse_connections(rig, 0.8) == 2
-    previous, second = rig.started()
-    assert (previous.task, previous.vm) == (second.task, "w0" if second.vm == "w1" else "w1")
+    first, second = rig.started()
+    assert (first.task, first.vm) == (second.task, "w0" if second.vm == "w1" else "w1")
 
 
 def test_a_vm_that_refuses_connections_early_or_without_draining_may_still_run_tasks() -> None:
