--- a/src/sablemount/jobs/systems/crashes.py
+++ b/src/sablemount/jobs/systems/crashes.py
@@ -102,6 +102,7 @@
 
     @staticmethod
     def _clear_if_long_running(task: TaskRow, run: RunRow, row: VmRow) -> bool:
+        """Clear the crashes of a long-running task that outlives VMs; return whether it is one."""
         if not task.step.spec.lasting or run.worked(row.heard_at) < CRASHES_CLEARED_AFTER_S:
             return False
         task.crashes.clear()
@@ -126,7 +127,7 @@
         is_isolated = all(run.worked(row.heard_at) > LONG_RUNNING_AFTER_S for run in requested)
         return row.trial if is_isolated else ""
 
-    # -- Judging -----------------------------------------------------------------------------
+    # -- Attribution -------------------------------------------------------------------------
 
     def _fail_attributed(self) -> None:
         """Fail the tasks to which crashes are by now attributed."""
@@ -168,7 +169,7 @@
         extra = {"vm": row.name, "trial": row.trial, "under": tasks_by_crashes[:MAX_TASKS_PER_LINE]}
         self._state.logger.info("VM crashed", extra=extra)
 
-    # -- Doubt -------------------------------------------------------------------------------
+    # -- Uncertainty -------------------------------------------------------------------------
 
     def run(self) -> None:
         """Record what runs on VMs that have fallen silent, before their crash is certain."""
--- a/src/sablemount/jobs/systems/trials.py
+++ b/src/sablemount/jobs/systems/trials.py
@@ -82,7 +82,7 @@
             row.trial = ""
             self._state.freed += 1
 
-    # -- Choosing ----------------------------------------------------------------------------
+    # -- Selection ---------------------------------------------------------------------------
 
     def prepare(self, step: StepRow, rows: list[VmRow]) -> None:
         """Isolate VMs, among those a step may use, for its tasks that wait for isolation."""
