--- a/src/sablemount/jobs/systems/crashes.py
+++ b/src/sablemount/jobs/systems/crashes.py
@@ -24,8 +24,8 @@
 SILENT_AFTER_S = 1.3
 """Report age beyond which the runs on a VM are uncertain: a poll takes 1.05 s at most."""
 MAX_SILENT_SHARE = 0.25
-"""Largest share of the VMs that may be silent at once for this to be recorded: with more of them
-the leader itself was paused or cut off."""
+"""Share of the VMs above which their silence is not recorded: with more of them silent at once, the
+leader itself was paused or cut off."""
 MIN_SILENT_LIMIT = 2
 JUDGE_INTERVAL_S = 0.3
 """Seconds between checks whether more is known about crashes."""
--- a/src/sablemount/jobs/systems/starts.py
+++ b/src/sablemount/jobs/systems/starts.py
@@ -1,8 +1,8 @@
 """Runs that are about to begin: created, recorded with their VM, and requested.
 
-A task that may have been started before is requested to start only once the store has it, together
-with all crashes before it. Otherwise a leader that ends within a second of the request leaves no
-trace of it, and a task that crashes every VM is started again under each leader.
+A start that may not be the first of its task is requested only once the store has recorded it,
+together with all crashes before it. Otherwise a leader that ends within a second of the request
+leaves no trace of it, and a task that crashes every VM is started again under each leader.
 
 A task under which VMs have crashed is started only on a VM that has just reported: the crash of a
 VM that was already down would count for the task too, as nothing shows which came first.
--- a/src/sablemount/jobs/systems/vms.py
+++ b/src/sablemount/jobs/systems/vms.py
@@ -15,7 +15,7 @@
 __all__ = ["Vms"]
 
 LEASE_SHARE = 0.97
-"""Share of the longest lease that is requested, so that it is never cut."""
+"""Share of the longest lease that is requested, so that it is never cut short."""
 RELISTED_WITHIN = 2.5
 """Seconds within which an entry that lapsed during a store outage returns, if its VM is up.
 
@@ -424,17 +424,17 @@
         others = self._state.vms.values()
         return any(other.listed and other.info.machine == machine for other in others)
 
-    def _move_unlisted_runs(self, row: VmRow, heir: VmRow) -> None:
+    def _move_unlisted_runs(self, row: VmRow, successor: VmRow) -> None:
         """Move runs to the next incarnation if their start requests may have reached it."""
         is_planned = self._ended_as_planned(row)
         if not is_planned:
-            heir.follows_at = self._state.now
+            successor.follows_at = self._state.now
         for run in list(row.runs.values()):
             if run.listed or run.state is RunState.NOTING:
                 continue
             if not is_planned:
                 self._mark_lost(run)
-            self._state.move_run(run, heir)
+            self._state.move_run(run, successor)
             if is_planned:
                 run.left = ""
 
