--- a/src/sablemount/jobs/state.py
+++ b/src/sablemount/jobs/state.py
@@ -31,18 +31,19 @@
 __all__ = ["NOT_ORDERED", "State"]
 
 TASK_KEY_PARTS = 4
-AT_WORK = 100.0
-"""Percent that a lasting task shows once it is at work."""
+AT_WORK_PERCENT = 100.0
+"""Progress in percent that a long-running task reports once it is at work."""
 NOT_ORDERED = "not ordered"
-"""How a run ended for which no order was given."""
-LEASE_SLACK = 0.1
-"""Seconds beyond a lease until what ran under it counts as over."""
-RUNS_AN_EPOCH = 10_000
-"""Distance between the run numbers of two leaders, so that they rise without being recorded."""
+"""Outcome of a run whose start was never requested."""
+LEASE_SLACK_S = 0.1
+"""Time beyond the end of a lease until what ran under it counts as over."""
+RUN_NUMBERS_PER_EPOCH = 10_000
+"""Distance between the run numbers of two epochs, so that run numbers rise from leader to leader
+without being recorded."""
 
 
 class State:
-    """Tables that the systems run over; times are local monotonic seconds."""
+    """Tables that the systems work on; times are local monotonic seconds."""
 
     def __init__(self, settings: JobSettings, epoch: int, now: float, wall_ms: float) -> None:
         self.settings = settings
@@ -53,48 +54,51 @@
         self.configuration = Configuration()
         self.terms: dict[str, QueueTerms] = {}
         self.organisations: dict[str, Organisation] = {}
-        """As last configured, by name; one that is named no more keeps its cap for what it runs."""
+        """Organisations as last configured, by name; one that is no longer configured keeps its cap
+        for what it still runs."""
         self.uneven = False
-        """Whether VMs differ in speed by so much that placement goes by it."""
+        """Whether the speeds of VMs differ so much that placement takes them into account."""
         self.usage = Usage()
         self.jobs: dict[str, JobRow] = {}
         self.live: dict[str, JobRow] = {}
         """Jobs that have not ended."""
         self.open_steps: dict[str, StepRow] = {}
-        """Steps with waiting tasks whose turn has come, by key."""
+        """Steps that are ready and have waiting tasks, by key."""
         self.vms: dict[str, VmRow] = {}
         self.rooms_at: float | None = None
-        """Up to when the VMs' entries were read; ``None`` where that is not watched."""
+        """Time up to which the VMs' entries were read; ``None`` where that is not tracked."""
         self.rooms_before = NEVER
-        """The same before they could last not be read for a while."""
+        """The same time before the last period in which the entries could not be read."""
         self.rooms_back_at = NEVER
-        """When they could be read again."""
+        """When the entries could be read again after that period."""
         self.unproven: dict[str, VmRow] = {}
-        """VMs that are to show that they list their ends."""
+        """VMs that a probe has to show to list their completions."""
         self.orphans: dict[tuple[str, str, int], RunRow] = {}
         """Runs that belong to no open task and are being stopped, by VM, task and run."""
         self.broken_gangs: list[tuple[StepRow, int]] = []
-        """Gangs, with the run of which a member has gone."""
+        """Steps and run numbers of gangs that have lost the run of a member."""
         self.suspected: dict[str, JobRow] = {}
         """Jobs with tasks under which VMs have crashed."""
         self.doubts: dict[str, tuple[str, ...]] = {}
-        """Tasks that a former leader noted to run on a VM, by the VM, until that is heard."""
+        """Tasks that a previous leader recorded as running on a VM, by VM, until the VM reports."""
         self.dirty: dict[str, JobRow] = {}
         self.freed = 0
-        """Counts what may let a waiting task fit."""
+        """Version of the free capacity: counts changes that may let a waiting task fit."""
         self.placed_at_freed = -1
         self.vms_changed = 0
-        """Counts what may make VMs usable of which steps know nothing yet."""
+        """Version of the VMs: counts changes that may make VMs usable that steps have no advice on
+        yet."""
         self.touched: set[str] = set()
-        """Steps to be looked at again, though no room was freed."""
+        """Steps to be placed again although no capacity was freed."""
         self.former_settled = False
-        """Whether no run of a former leader can be unseen any more."""
+        """Whether all runs that previous leaders started are known or over."""
         self.settled_at = NEVER
         """Since when that is so."""
         self.confirmed_at = now
-        """Until when nobody else led: the store was asked something then that it has answered."""
+        """Time up to which no other leader existed: the store has answered a request sent at that
+        time."""
         self.noting = True
-        """Whether the store answers, so that ends can be noted."""
+        """Whether the store answers, so that completions can be recorded."""
         self.actions: list[Action] = []
         self.unheard_until = NEVER
         self._fence = 0
@@ -104,21 +108,21 @@
     # -- Output ------------------------------------------------------------------------------
 
     def emit(self, action: Action) -> None:
-        """Add an action to what the current event gives."""
+        """Add an action to those of the current event."""
         self.actions.append(action)
 
     def take_actions(self) -> list[Action]:
-        """Return and forget the actions given so far."""
+        """Return and clear the actions emitted so far."""
         actions = self.actions
         self.actions = []
         return actions
 
     def mark(self, job: JobRow) -> None:
-        """Let a job's progress be recorded with the next batch."""
+        """Have the progress of a job recorded with the next batch."""
         self.dirty[job.name] = job
 
     def touch(self, step: StepRow) -> None:
-        """Let a step be looked at by the next round of placement."""
+        """Have a step considered in the next placement round."""
         self.touched.add(step.key)
 
     # -- Lookups -----------------------------------------------------------------------------
@@ -141,11 +145,11 @@
         return step.tasks[index]
 
     def terms_of(self, job: JobRow) -> QueueTerms:
-        """Return the terms in force for a job: its queue's, or those that it was accepted under."""
+        """Return the terms in force for a job: its queue's, or those of its acceptance."""
         return self.terms.get(job.record.terms.name, job.record.terms)
 
     def step_of(self, task_name: str) -> StepSpec | None:
-        """Return the step that a task is of; ``None`` if its job is not known any more."""
+        """Return the spec of the step of a task; ``None`` if its job is no longer known."""
         parts = task_name.split(".")
         job = self.jobs.get(parts[0])
         if job is None or len(parts) != TASK_KEY_PARTS or not parts[2].isdigit():
@@ -155,8 +159,8 @@
         return steps[number] if number < len(steps) else None
 
     def longest_lease_end(self) -> float:
-        """Return until when a lease that a VM grants at this moment can last."""
-        return self.now + self.settings.lease / SLOW_CLOCK + LEASE_SLACK
+        """Return the latest end of a lease that a VM grants now."""
+        return self.now + self.settings.lease / SLOW_CLOCK + LEASE_SLACK_S
 
     def next_fence(self) -> int:
         """Return a fence above all that were given to VMs before."""
@@ -166,7 +170,7 @@
     # -- Runs --------------------------------------------------------------------------------
 
     def running_on(self, vm: VmRow) -> list[tuple[RunRow, TaskRow]]:
-        """Return what is known to run on a VM, with the open tasks that it is of."""
+        """Return the runs known to be running on a VM, with their open tasks."""
         found = []
         for run in vm.runs.values():
             task = self.task(run.task) if run.state is RunState.RUNNING else None
@@ -175,9 +179,10 @@
         return found
 
     def may_be_stopped(self, task: TaskRow) -> bool:
-        """Tell whether a stop of a task leaves enough tasks of its step at work.
+        """Return whether enough tasks of the step stay at work if this task is stopped.
 
-        ``may_miss`` of a step bounds how many may be away at once by our doing; 0 is no bound.
+        The step's ``may_miss`` bounds how many tasks the scheduler may keep away from work at the
+        same time; 0 means no bound.
         """
         step = task.step
         if not step.spec.may_miss:
@@ -186,12 +191,12 @@
         return away < step.spec.may_miss
 
     def next_run(self, tasks: list[TaskRow]) -> int:
-        """Return a run number above all that some tasks have had."""
-        base = (self.epoch - 1) * RUNS_AN_EPOCH
+        """Return a run number above all previous ones of some tasks."""
+        base = (self.epoch - 1) * RUN_NUMBERS_PER_EPOCH
         return max(base, *(task.last_run for task in tasks)) + 1
 
     def add_run(self, task: TaskRow, run: RunRow) -> None:
-        """Enter a run of an open task and charge its VM."""
+        """Add a run of an open task and charge its VM."""
         task.runs.append(run)
         task.last_run = max(task.last_run, run.number)
         if task.state is TaskState.WAITING:
@@ -200,7 +205,7 @@
         self.charge(run)
 
     def charge(self, run: RunRow) -> None:
-        """Charge a VM for a run."""
+        """Charge a VM, and the cap of the run's organisation, for a run."""
         vm = self.vms[run.vm]
         vm.runs[(run.task, run.number)] = run
         vm.room = vm.room.plus(run.charge, -1)
@@ -210,8 +215,8 @@
         run.counted = run.charge if step is None else step.shape
         self.usage.take(run.organisation, run.counted)
 
-    def note_end(self, run: RunRow, how: str) -> None:
-        """Keep how a run ended for the line that tells of its job's end."""
+    def note_end(self, run: RunRow, outcome: str) -> None:
+        """Keep how a run ended for the log line of its job's end."""
         job = self.jobs.get(job_of(run.task))
         if job is None or job.shown.final or run.told:
             return
@@ -219,11 +224,11 @@
         if len(job.run_ends) >= MAX_RUN_ENDS:
             job.more_runs += 1
             return
-        began = run.started_at or run.sent_at
-        job.run_ends.append(RunEnd(run.task, run.number, run.vm, began, self.now, how))
+        started_at_s = run.started_at or run.sent_at
+        job.run_ends.append(RunEnd(run.task, run.number, run.vm, started_at_s, self.now, outcome))
 
     def resize(self, vm: VmRow, capacity: Shape) -> None:
-        """Take a VM's capacity, which is not known before its entry was read."""
+        """Set the capacity of a VM, which is unknown until its entry has been read."""
         vm.room = vm.room.plus(capacity).plus(vm.info.capacity, -1)
         for run in vm.runs.values():
             if run.whole:
@@ -233,7 +238,7 @@
                 run.charge = run.counted = capacity
 
     def move_run(self, run: RunRow, vm: VmRow) -> None:
-        """Charge a VM's next life for a run that may have been started there instead."""
+        """Charge the next incarnation of a VM for a run that may have started there instead."""
         key = (run.task, run.number)
         run.left = run.left or run.vm
         orphan = self.orphans.pop((run.vm, *key), None)
@@ -243,7 +248,7 @@
         run.vm = vm.name
         run.listed = False
         run.started_at = 0.0
-        # The first word of that life tells whether it is there.
+        # The first report of that incarnation shows whether the run is there.
         run.settle_clock = 0.0
         run.stop_sent_at = NEVER
         if run.state is RunState.RUNNING:
@@ -253,9 +258,9 @@
         if orphan is not None:
             self.orphans[(run.vm, *key)] = run
 
-    def drop_run(self, run: RunRow, how: str) -> None:
-        """Take a run out, which ended in some way, and give back what was charged for it."""
-        self.note_end(run, how)
+    def drop_run(self, run: RunRow, outcome: str) -> None:
+        """Remove a run that ended with some outcome, and release what was charged for it."""
+        self.note_end(run, outcome)
         vm = self.vms.get(run.vm)
         if vm is not None and vm.runs.pop((run.task, run.number), None) is not None:
             vm.room = vm.room.plus(run.charge)
@@ -272,7 +277,7 @@
             self.requeue(task)
 
     def requeue(self, task: TaskRow) -> None:
-        """Let a task wait for another start."""
+        """Return a task to waiting for a start."""
         task.state = TaskState.WAITING
         task.step.waiting += 1
         task.step.requeued_at = self.now
@@ -280,7 +285,7 @@
         self.touch(task.step)
 
     def release_booked(self, step: StepRow) -> None:
-        """Give back the room that was kept for a step."""
+        """Release the capacity that was reserved for a step."""
         for name, count in step.booked.items():
             vm = self.vms.get(name)
             if vm is not None:
@@ -288,7 +293,7 @@
         step.booked.clear()
 
     def orphan(self, run: RunRow) -> None:
-        """Charge a VM for a run that is to be stopped; one that was not ordered is taken out."""
+        """Keep a run charged until it is stopped; one that was not requested is removed at once."""
         if run.state is RunState.NOTING:
             self.drop_run(run, NOT_ORDERED)
             return
@@ -297,4 +302,6 @@
 
 
 def _at_work(task: TaskRow) -> bool:
-    return any(run.state is RunState.RUNNING and run.percent >= AT_WORK for run in task.runs)
+    return any(
+        run.state is RunState.RUNNING and run.percent >= AT_WORK_PERCENT for run in task.runs
+    )
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -1,7 +1,7 @@
-"""The live tables of the job scheduler: jobs, steps, tasks, runs and VMs.
+"""The in-memory tables of the job scheduler: jobs, steps, tasks, runs and VMs.
 
-All times are local monotonic seconds unless a name says otherwise. Rows are changed in place by
-the systems; only records and messages are immutable.
+All times are local monotonic seconds unless a name says otherwise. The systems change rows in
+place; only records and messages are immutable.
 """
 
 import enum
@@ -29,18 +29,19 @@
 
 NEVER = -1e9
 MAX_RUN_ENDS = 400
-"""Ended runs that are kept of a job: three times its tasks at most, but for jobs that last."""
-TRIED_AFTER = 2
-"""Crashes under a task after which it runs apart from other jobs."""
+"""Completed runs kept per job until its end is logged; a job has at most three runs per task unless
+it is long-running."""
+ISOLATE_AFTER_CRASHES = 2
+"""Crashes under a task after which it runs isolated from other jobs."""
 CLEAR = 3.0
-"""What a crash tells of a task at most, as a logarithm of odds: there may always be another cause.
-"""
+"""Largest evidence weight of one crash against a task, as the logarithm of odds: another cause can
+never be excluded."""
 SLOW_CLOCK = 0.98
-"""Rate of the slowest clock of a VM against true time."""
+"""Lowest rate of a VM's clock relative to true time."""
 
 
 class JobState(enum.IntEnum):
-    """State of a job; the numbers are part of the records."""
+    """State of a job; the numbers are part of the stored records."""
 
     PENDING = 0
     RUNNING = 1
@@ -50,7 +51,7 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether the job has ended."""
+        """Return whether the job has ended."""
         return self >= JobState.SUCCEEDED
 
 
@@ -63,19 +64,20 @@
 
 
 class RunState(enum.Enum):
-    """State of a run, as far as it is known here."""
+    """State of a run, as far as the leader knows it."""
 
     NOTING = "noting"
-    """No order is given for it before the store has it: its leader's end would leave no trace."""
+    """The run is being recorded. It is requested only afterwards: otherwise it would leave no trace
+    if the leader ended."""
     SENT = "sent"
-    """The order is on its way, or its answer did not come."""
+    """The start request is in flight, or was not answered."""
     RUNNING = "running"
     STOPPING = "stopping"
 
 
 @dataclass(slots=True, eq=False)
 class RunRow:
-    """A run that may take room on a VM."""
+    """A run that may occupy capacity on a VM."""
 
     task: str
     number: int
@@ -84,44 +86,46 @@
     sent_at: float
     state: RunState = RunState.SENT
     noted: bool = False
-    """Whether the store has what has to be there before its order."""
+    """Whether the store holds everything that must be recorded before the start request."""
     proof: bool = False
-    """Whether it is there to show that its VM lists ends, and ends before it has done any work."""
+    """Whether the run is a probe, which shows whether its VM lists completions and ends before it
+    has done any work."""
     whole: bool = False
-    """Whether all of its VM is charged for it, since its job is not known any more."""
+    """Whether the whole VM is charged for the run, because its job is no longer known."""
     organisation: str = ""
-    """Whose run it is; empty if that is not known."""
+    """Organisation that owns the run; empty if unknown."""
     counted: Shape = Shape()
-    """What it takes of its organisation's cap."""
+    """What the run counts against its organisation's cap."""
     settle_clock: float = 0.0
-    """VM's clock (ms) after which a run that it does not list will never be there."""
+    """VM clock in ms; a run that a later report does not list will never exist there."""
     started_at: float = 0.0
     stop_sent_at: float = NEVER
     listed: bool = False
-    """Whether its VM has listed it."""
+    """Whether the VM has listed the run."""
     resumed: bool = False
-    """Whether it goes on from what an earlier run has saved."""
+    """Whether the run continues from state that an earlier run saved."""
     left: str = ""
-    """Life that it may have ended with, while it is not known whether it came to the next one."""
+    """Incarnation with which the run may have ended, until it is known whether the run reached the
+    next incarnation."""
     percent: float = 0.0
     percent_at: float = 0.0
     """When the percentage last rose."""
     figure: float = 0.0
     """See ``RunReport``."""
     share: int | None = 100
-    """Percent of its speed that it was last given; ``None`` if that is not known."""
+    """Percentage of full speed last granted to the run; ``None`` if unknown."""
     saved: str = ""
     mark_at: float = NEVER
     mark_percent: float = 0.0
-    """When its pace was last measured, and how far it was then."""
+    """When the progress rate was last measured, and the progress at that time."""
     pace: float | None = None
-    """Share of it that was done in a second, when last measured."""
+    """Last measured progress rate, as the share of the work done per second."""
     best_pace: float = 0.0
     told: bool = False
-    """Whether its end is kept for the line of its job's end."""
+    """Whether the completion is already kept for the log line of its job's end."""
 
     def worked(self, until: float) -> float:
-        """Return the seconds that it was known to be at work up to some local time."""
+        """Return for how many seconds the run is known to have worked up to a local time."""
         return until - self.started_at if self.started_at > 0 else 0.0
 
 
@@ -146,65 +150,67 @@
     index: int
     state: TaskState = TaskState.WAITING
     failed_runs: set[int] = field(default_factory=set)
-    """Runs whose failure has been counted, so that an end listed again counts once."""
+    """Runs whose failure has been counted, so that a completion listed again counts once."""
     saved: str = ""
     last_run: int = 0
     runs: list[RunRow] = field(default_factory=list)
     failed_on: set[str] = field(default_factory=set)
     """VMs on which the task has failed."""
     failed_at: float = NEVER
-    """When it last failed."""
+    """When the task last failed."""
     crashes: list[str] = field(default_factory=list)
-    """VMs that have crashed while it ran there."""
+    """VMs that crashed while the task ran there."""
     weights: dict[str, float] = field(default_factory=dict)
-    """What a crash tells of it where that is less than of a clear one; see ``evidence.py``."""
+    """Evidence weight of a crash against the task, where it is below the maximum; see
+    ``evidence.py``."""
     lost: bool = False
-    """Whether a run of it was lost with its VM, which it may have crashed."""
+    """Whether a run of the task was lost with its VM, which the task may have crashed."""
 
     @property
     def on_trial(self) -> bool:
-        """Tell whether so many VMs have crashed under it that it runs apart from other jobs."""
-        return len(self.crashes) >= TRIED_AFTER
+        """Return whether so many VMs crashed under the task that it must run isolated."""
+        return len(self.crashes) >= ISOLATE_AFTER_CRASHES
 
     def crashed_before(self, vm: "VmRow") -> bool:
-        """Tell whether an earlier life of a VM has crashed while it ran there."""
+        """Return whether an earlier incarnation of a VM crashed while the task ran there."""
         return self.crashed_in(vm.info.entry, vm.name)
 
     def crashed_in(self, entry: str, but: str) -> bool:
-        """Tell whether a life of an entry, but for one, has crashed while it ran there."""
-        lives = entry + LIFE_SEPARATOR
-        return any(name.startswith(lives) and name != but for name in self.crashes)
+        """Return whether an incarnation of an entry other than ``but`` crashed under the task."""
+        prefix = entry + LIFE_SEPARATOR
+        return any(name.startswith(prefix) and name != but for name in self.crashes)
 
     def weight(self, vm: str) -> float:
-        """Return what the crash of a VM's life tells of it."""
+        """Return the evidence weight of the crash of a VM's incarnation against the task."""
         return self.weights.get(vm, CLEAR)
 
     def evidence(self, but: str = "") -> float:
-        """Return what all crashes under it tell, but for that of one life.
+        """Return the total evidence weight of the crashes under the task, except that of ``but``.
 
-        Of one VM the crash counts that tells the most: one that crashes again may do so by itself.
+        Of the crashes of one VM only the one with the largest weight counts, since a VM that
+        crashes repeatedly may be the cause itself.
         """
-        most: dict[str, float] = {}
+        largest_weights: dict[str, float] = {}
         for vm in self.crashes:
             if vm != but:
                 entry = vm.partition(LIFE_SEPARATOR)[0]
-                most[entry] = max(most.get(entry, 0.0), self.weight(vm))
-        return sum(most.values())
+                largest_weights[entry] = max(largest_weights.get(entry, 0.0), self.weight(vm))
+        return sum(largest_weights.values())
 
     @property
     def noted_first(self) -> bool:
-        """Tell whether its next order waits for the store, since it may have been started before.
+        """Return whether the next run must be recorded before it is requested.
 
-        A crash counts under the leader that gave the order, or under a later one that finds it
-        noted. Only the first of a task's orders may go without, so that one crash at most counts
-        for nothing.
+        That is so if the task may have been started before. A crash is counted by the leader that
+        requested the start, or by a later leader that finds the run recorded. Only the first start
+        of a task may go unrecorded, so that at most one crash remains uncounted.
         """
         return self.lost or bool(self.crashes) or self.step.job.former
 
 
 @dataclass(slots=True)
 class Ticket:
-    """Leave to run a step on a VM, until a local time."""
+    """Permission to run a step on a VM, until a local time."""
 
     text: str
     until: float
@@ -212,21 +218,21 @@
 
 @dataclass(slots=True)
 class AdviceRow:
-    """What is known of which VMs may run a step."""
+    """What the advice service has said about which VMs may run a step."""
 
     good: dict[str, Ticket] = field(default_factory=dict)
     bad: set[str] = field(default_factory=set)
     asking: int = 0
-    """Calls on their way."""
+    """Calls in flight."""
     asked_at: float = NEVER
     asked_for: float = 0.0
-    """Seconds that answers were waited for so far."""
+    """Seconds spent waiting for answers so far."""
     failures: int = 0
     known_at: int = -1
-    """Count of changes of the VMs at which all of them were known."""
+    """Version of the VMs at which the answer for each of them was known."""
 
     def asked(self, now: float) -> float:
-        """Return the seconds that answers were waited for, with calls that are on their way."""
+        """Return the seconds spent waiting for answers, including the calls in flight."""
         return self.asked_for + (now - self.asked_at if self.asking else 0.0)
 
 
@@ -239,26 +245,26 @@
     number: int
     spec: StepSpec
     chain: float = 0.0
-    """Expected seconds from its start to its job's end."""
+    """Expected seconds from the step's start to its job's end."""
     tasks: list[TaskRow] = field(default_factory=list)
     open_tasks: int = 0
-    """How many of its tasks are not done."""
+    """Number of tasks that are not done."""
     waiting: int = 0
-    """How many of its tasks wait for a start."""
+    """Number of tasks that wait for a start."""
     opened_at: float = NEVER
     advice: AdviceRow | None = None
     booked: dict[str, int] = field(default_factory=dict)
-    """Tasks by VM whose room is kept while tickets are asked for."""
+    """Number of tasks by VM for which capacity is reserved while tickets are requested."""
     told_at: float = NEVER
-    """When it was last logged that it waits."""
+    """When it was last logged that the step waits."""
     capped_since: float | None = None
-    """Since when its organisation's cap keeps some of its tasks waiting."""
+    """Since when the organisation's cap keeps some of the tasks waiting."""
     capped_for: float = 0.0
-    """Seconds for which it has done so before."""
+    """Seconds for which the cap kept tasks waiting in earlier periods."""
     requeued_at: float = NEVER
-    """When one of its tasks last came to wait for another start."""
+    """When one of the tasks last returned to waiting for a start."""
     tried_at_freed: int = -1
-    """Count of freed room at which its placement was last tried."""
+    """Capacity version at which placement of the step was last tried."""
 
     @property
     def key(self) -> str:
@@ -267,11 +273,11 @@
 
     @property
     def turn_at(self) -> float:
-        """Return since when it could have been placed."""
+        """Return since when the step could have been placed."""
         return max(self.opened_at, self.job.accepted_at)
 
     def note_cap(self, binds: bool, now: float) -> None:
-        """Take whether its organisation's cap keeps some of its tasks waiting."""
+        """Record whether the organisation's cap keeps some of the tasks waiting."""
         if binds and self.capped_since is None:
             self.capped_since = now
         elif not binds and self.capped_since is not None:
@@ -305,135 +311,141 @@
     durable: bool = False
     """Whether the acceptance is in the store."""
     shown: JobState = JobState.PENDING
-    """State that callers may be told: a final one only once it is in the store."""
+    """State that callers may see; a final one only once it is in the store."""
     steps: dict[tuple[int, int], StepRow] = field(default_factory=dict)
     open_steps: int = 0
     next_repetition: int = 0
     begun: bool = False
     former: bool = False
-    """Accepted under a former leader, so that something of it may run unseen."""
+    """Whether the job was accepted by a previous leader, so that runs of it may not have been seen
+    yet."""
     ended_ms: float = 0.0
     objective_at: float = 0.0
-    """Until when its end earns the whole credit."""
+    """Time up to which its completion earns full credit."""
     run_ends: list[RunEnd] = field(default_factory=list)
     more_runs: int = 0
-    """Ended runs that are not kept."""
+    """Number of completed runs that were not kept."""
     watched: bool = False
     """Whether VMs have crashed under its tasks."""
 
     @property
     def organisation(self) -> str:
-        """Return whose job it is; empty if that is not known, or nobody's."""
+        """Return the organisation that owns the job; empty if unknown or none."""
         return self.record.organisation
 
     @property
     def public(self) -> bool:
-        """Tell whether it was handed in where no key is needed."""
+        """Return whether the job was submitted where no key is needed."""
         return self.record.public
 
 
 @dataclass(slots=True, eq=False)
 class VmRow:
-    """One life of a VM."""
+    """One incarnation of a VM."""
 
     info: VmInfo
     name: str = field(init=False)
-    """Name of this life."""
+    """Name of this incarnation."""
     listed: bool = True
     unlisted_at: float | None = None
-    """When its entry was found to be missing; ``None`` while it is there or no list was read."""
+    """When its entry was found missing; ``None`` while it is present or no list has been read."""
     revision: int = 0
-    """Of the newest word that it has told of itself."""
+    """Revision of the newest description that the VM has published of itself."""
     told_at: float = NEVER
-    """When a newer word than before of what it tells of itself came."""
+    """When a description with a newer revision arrived."""
     room: Shape = Shape()
     runs: dict[tuple[str, int], RunRow] = field(default_factory=dict)
     heard_at: float = NEVER
     first_heard_at: float = NEVER
     refused_since: float = 2 * NEVER
-    """Since when nothing listens at its address; before it was last heard if something does."""
+    """Since when nothing listens at its address; earlier than its last report if something does."""
     clock_ms: float = 0.0
     clock_at: float = NEVER
-    """When the answer with ``clock_ms`` came."""
+    """When the answer with ``clock_ms`` arrived."""
     behind_at: float = NEVER
-    """When an answer whose clock was far behind was last told of."""
+    """When an answer with a clock far behind was last logged."""
     fence: int = 0
-    """What its calls are fenced by, among those of one leader; it rises from life to life."""
+    """Fence of its calls, among those of one leader; it rises with each incarnation."""
     awaited: bool = False
-    """Whether it is known by its answers only, and its entry is yet to come."""
+    """Whether the VM is known from its answers only, and its entry has not been read yet."""
     deaf: bool = False
-    """Whether ends there may go unlisted, so that nothing may be started."""
+    """Whether completions there may go unlisted, so that nothing may be started."""
     unproven: bool = False
-    """Whether that is but feared, so that it may show that it lists them; see ``proofs.py``."""
+    """Whether that is only suspected, so that a probe may show that the VM lists its completions;
+    see ``proofs.py``."""
     proofs: int = 0
-    """How often it was to show that."""
+    """Number of probes started on the VM."""
     prove_at: float = NEVER
-    """When it may be to show that again."""
+    """Earliest time of the next probe."""
     noted_speed: float = 0.0
-    """Its speed as its record has it, or is about to."""
+    """Its speed as recorded, or as about to be recorded."""
     follows_at: float = NEVER
-    """When it was found to follow a life under its id that had ended unplanned."""
+    """When it was found to follow an incarnation under the same id whose end was not planned."""
     seen_end: int = 0
     noted_end: int = 0
-    """Last end that went with a batch."""
+    """Last completion that was put into a batch."""
     acked_end: int = 0
-    """Last end whose note is in the store, so that it may be acknowledged."""
+    """Last completion that the store holds, so that it may be acknowledged."""
     told_end: int = 0
-    """Last end that the VM is known to have been told to forget."""
+    """Last completion that the VM is known to have been told to forget."""
     ordering: int = 0
-    """Orders to start something that are on their way."""
+    """Number of start requests in flight."""
     unanswered_at: float = NEVER
-    """When such an order was last given up without an answer."""
+    """When a start request last timed out without an answer."""
     telling: bool = False
-    """Whether it is being told to forget ends, so that nothing is started meanwhile."""
+    """Whether an acknowledgement of completions is in flight, so that nothing is started meanwhile.
+    """
     held_up: bool = False
-    """Whether something was not started there for that."""
+    """Whether an acknowledgement in flight or overdue has delayed a start there."""
     untold_since: float | None = None
-    """Since when there are noted ends that it has not been told to forget."""
+    """Since when there are recorded completions that were not acknowledged to the VM."""
     leaves_at: float | None = None
-    """Until when a life that drains lasts at least, if it has told."""
+    """Time until which a draining incarnation lasts at least, if it has announced one."""
     lease_end: float = NEVER
     """Local time after which nothing that was leased there can run."""
     gone: bool = False
     paced_at: float = NEVER
-    """When the share of some run there was last changed."""
+    """When the speed of some run there was last changed."""
     avoid_until: float = NEVER
-    """No new work before this time: it refused, or its tasks fail or stand still."""
+    """No new work before this time, because the VM refused a start or its tasks fail or make no
+    progress."""
     failed_jobs: set[str] = field(default_factory=set)
-    """Jobs of which a task has failed there since one was last done."""
+    """Jobs of which a task has failed there since a task of theirs last succeeded there."""
     kept_priority: int = 0
     kept_for: str = ""
-    """Step for which alone its room is kept; empty if any of that priority may take it."""
+    """Step for which alone its capacity is reserved; empty if any step of that priority may use it.
+    """
     kept_until: float = NEVER
-    """Until when its room is kept for that step or for work of that priority, or more urgent."""
+    """Until when its capacity is reserved for that step, or for work of that priority or more
+    urgent work."""
     strikes: int = 0
     recorded: bool = False
     """Whether its record says, or is about to say, that it may run something."""
     uses: int = 0
-    """Records of its use that were made here: the number of the last one."""
+    """Number of the newest use record that this leader made for it."""
     in_use: bool = False
-    """Whether that record is in the store, so that something may be started."""
+    """Whether that record is in the store, so that runs may be started."""
     loaded: bool = False
-    """Whether something may have been started there by a former leader's order, or by one that was
-    meant for its earlier life."""
+    """Whether a previous leader may have started something there, or a start request for its
+    earlier incarnation may have reached it."""
     trial: str = ""
-    """Job that alone may start something there, since VMs have crashed under its tasks."""
+    """Job that alone may start runs there, because VMs have crashed under its tasks."""
     doubted_at: float = NEVER
-    """When what runs there was last noted as in doubt, since it had fallen silent."""
+    """When its runs were last recorded as uncertain because it had fallen silent."""
 
     def __post_init__(self) -> None:
         self.name = self.info.name
 
     def heard_ago(self, now: float) -> float | None:
-        """Return the age of its last word in seconds; ``None`` if it was never heard."""
+        """Return the age of its last report in seconds; ``None`` if it never reported."""
         return round(now - self.heard_at, 3) if self.heard_at > 0 else None
 
     def kept_from(self, step: "StepRow", priority: int, now: float) -> bool:
-        """Tell whether its room is kept for others than a step of some priority."""
+        """Return whether its capacity is reserved against a step of some priority."""
         if self.kept_until <= now or priority < self.kept_priority:
             return False
         return priority > self.kept_priority or self.kept_for not in ("", step.key)
 
     def clock_after(self, now: float) -> float:
-        """Return the least that the VM's clock can show now, in ms."""
+        """Return the lowest value in ms that the VM's clock can show now."""
         return self.clock_ms + max(0.0, now - self.clock_at) * 1000.0 * SLOW_CLOCK
