--- a/src/sablemount/jobs/journal.py
+++ b/src/sablemount/jobs/journal.py
@@ -1,7 +1,7 @@
-"""Group commit of what must last: accepted jobs, noted ends, states, VMs in use.
+"""Group commit of persistent state: accepted jobs, completions, job states and VMs in use.
 
-Pure: it says what the next batch holds and what its success means. Batches may be on their way
-together; each is sent again as it was until it has a definite answer.
+Has no I/O: it returns the contents of the next batch and applies the effects of its success.
+Several batches may be in flight; each is sent again unchanged until it has a definite answer.
 """
 
 from collections import deque
@@ -25,48 +25,49 @@
 
 __all__ = ["Batch", "Journal"]
 
-SUSPECT_TIME = 2.0
-"""Seconds after its order for which a run is recorded with its VM, unless that falls silent: a
-crash may come 0.01 s after a start, and its leader end before it knows."""
-MOST_SUSPECTS = 60
-"""Tasks that are recorded with a VM at most: 1.7 KB."""
-CALLS_SHARE = 2
-"""By how much a batch's bytes are below what the store takes in a call at most."""
+SUSPECT_TIME_S = 2.0
+"""Time after its start request for which a run is recorded with its VM even though the VM reports:
+a crash may come 0.01 s after a start, and the leader may end before it knows."""
+MAX_SUSPECTS = 60
+"""Largest number of tasks recorded with a VM: 1.7 KB."""
+CALL_LIMIT_DIVISOR = 2
+"""Divisor of the store's limit per call that bounds the bytes of a batch."""
 
 
 class Batch(msgspec.Struct):
-    """Records that go together, and what is true once they are in the store."""
+    """Records that are appended together, and what holds once they are in the store."""
 
     records: list[Record]
     accepted: list[str] = []
     states: dict[str, int] = {}
     """State of the jobs whose progress is in the batch, by job."""
     used: dict[str, int] = {}
-    """VMs that may be given work from now on, each with the number of its record of use."""
+    """VMs that may be given work once the batch is stored, each with the number of its use record.
+    """
     ends: dict[str, int] = {}
-    """Number of the last end noted, by VM."""
+    """Number of the last recorded completion, by VM."""
     noted: list[RunRow] = []
-    """Runs whose orders wait for this batch."""
+    """Runs whose start requests wait for this batch."""
 
 
 class Journal:
-    """Collects what must last."""
+    """Collects what has to be persisted."""
 
     def __init__(self, state: State, lifecycle: Lifecycle) -> None:
         self._state = state
         self._lifecycle = lifecycle
         self._accepting: dict[str, JobRow] = {}
         self._vms: dict[str, VmRow] = {}
-        """VMs whose record is to be written, or dropped if they are not in use any more."""
+        """VMs whose record is to be written, or dropped if they are no longer in use."""
         self._dropped: deque[Record] = deque()
-        self._noting: list[RunRow] = []
+        self._recording: list[RunRow] = []
 
     def accept(self, job: JobRow) -> None:
-        """Let a job's acceptance go with the next batch."""
+        """Add a job's acceptance to the next batch."""
         self._accepting[job.name] = job
 
     def withdraw(self, name: str) -> bool:
-        """Take back an acceptance that has not been sent, and tell whether it could be."""
+        """Withdraw an acceptance that has not been sent, and return whether that was possible."""
         return self._accepting.pop(name, None) is not None
 
     def use(self, row: VmRow) -> None:
@@ -81,60 +82,61 @@
         self._vms[row.name] = row
 
     def note_runs(self, row: VmRow) -> None:
-        """Record anew what a crash of a VM would count for."""
+        """Update a VM's record of the tasks that its crash would be attributed to."""
         if row.recorded:
             self._vms[row.name] = row
 
     def note_first(self, runs: list[RunRow]) -> None:
-        """Have runs noted once what is to be recorded by now is in the store."""
-        self._noting += runs
+        """Mark runs as recorded once everything to be recorded by now is in the store."""
+        self._recording += runs
 
     def forget(self, name: str) -> None:
         """Drop the record of an ended job."""
         self._dropped.append(Record(PROGRESS_PREFIX + name))
 
     def pending(self) -> bool:
-        """Tell whether there is something to append."""
+        """Return whether there is something to append."""
         state = self._state
-        if self._accepting or self._vms or state.dirty or self._noting:
+        if self._accepting or self._vms or state.dirty or self._recording:
             return True
         return any(row.seen_end > row.noted_end for row in state.vms.values())
 
     def next_batch(self) -> Batch:
-        """Return the next batch; what it holds does not go with a later one.
+        """Return the next batch; later batches do not repeat its contents.
 
-        It is bounded in its bytes, so that something may be pending still.
+        Its size in bytes is bounded, so that something may still be pending afterwards.
         """
-        filling = _Filling(self._state)
-        self._add_vms(filling, in_use=True)
-        self._add_dropped(filling)
-        self._add_accepted(filling)
-        self._add_progress(filling)
+        builder = _BatchBuilder(self._state)
+        self._add_vms(builder, in_use=True)
+        self._add_dropped(builder)
+        self._add_accepted(builder)
+        self._add_progress(builder)
         if not self._state.dirty:
-            # A crash may be known by its VM's record alone until the progress of jobs has it.
-            self._add_vms(filling, in_use=False)
-            # What the ends have changed is in this batch or in one before.
-            self._add_ends(filling.batch)
-            self._add_noted(filling.batch)
-        return filling.batch
-
-    def _add_noted(self, batch: Batch) -> None:
-        """Add the runs of which the VMs' records, and all crashes before, are in batches by now."""
+            # Until the progress of jobs includes a crash, the record of its VM may be the only
+            # trace of it.
+            self._add_vms(builder, in_use=False)
+            # The effects of the completions are in this batch or in an earlier one.
+            self._add_completions(builder.batch)
+            self._add_recorded_runs(builder.batch)
+        return builder.batch
+
+    def _add_recorded_runs(self, batch: Batch) -> None:
+        """Add the runs if the VMs' records and all earlier crashes are in batches by now."""
         if not self._vms:
-            batch.noted = self._noting
-            self._noting = []
+            batch.noted = self._recording
+            self._recording = []
 
-    def _add_vms(self, filling: "_Filling", in_use: bool) -> None:
-        """Add the records of VMs that may run something, or of those that do not any more."""
+    def _add_vms(self, builder: "_BatchBuilder", in_use: bool) -> None:
+        """Add the records of the VMs that may run something, or of those that no longer do."""
         for name, row in list(self._vms.items()):
             if row.recorded is not in_use:
                 continue
             record = Record(VM_PREFIX + name, self._vm_value(row))
-            if not filling.room_for([record]):
+            if not builder.accepts([record]):
                 return
             del self._vms[name]
-            if filling.add([record]) and record.value:
-                filling.batch.used[name] = row.uses
+            if builder.add([record]) and record.value:
+                builder.batch.used[name] = row.uses
 
     def _vm_value(self, row: VmRow) -> bytes:
         if not row.recorded:
@@ -154,35 +156,35 @@
         return encode(record)
 
     def _suspects(self, row: VmRow) -> tuple[str, ...]:
-        """Return the tasks that a crash of a VM would count for, the latest first."""
-        # What may have come from the last life stands in the record of that.
-        runs = sorted((run for run in row.runs.values() if not run.left), key=_lately_ordered)
+        """Return the tasks that a crash of a VM would be attributed to, the latest first."""
+        # Runs that may have come from the previous incarnation are in the record of that one.
+        runs = sorted((run for run in row.runs.values() if not run.left), key=_start_request_order)
         if row.doubted_at < row.heard_at:
-            after = self._state.now - SUSPECT_TIME
-            runs = [run for run in runs if run.sent_at > after or self._suspected(run)]
-        return tuple(run.task for run in runs[:MOST_SUSPECTS])
+            after = self._state.now - SUSPECT_TIME_S
+            runs = [run for run in runs if run.sent_at > after or self._is_suspected(run)]
+        return tuple(run.task for run in runs[:MAX_SUSPECTS])
 
-    def _suspected(self, run: RunRow) -> bool:
+    def _is_suspected(self, run: RunRow) -> bool:
         if run.state is RunState.NOTING:
             return True
         task = self._state.task(run.task)
         return task is not None and (task.lost or bool(task.crashes))
 
-    def _add_dropped(self, filling: "_Filling") -> None:
-        while self._dropped and filling.room_for([self._dropped[0]]):
-            filling.add([self._dropped.popleft()])
+    def _add_dropped(self, builder: "_BatchBuilder") -> None:
+        while self._dropped and builder.accepts([self._dropped[0]]):
+            builder.add([self._dropped.popleft()])
 
-    def _add_accepted(self, filling: "_Filling") -> None:
+    def _add_accepted(self, builder: "_BatchBuilder") -> None:
         while self._accepting:
             name, job = next(iter(self._accepting.items()))
             records = [Record(JOB_PREFIX + name, encode(job.record))]
-            if not filling.room_for(records):
+            if not builder.accepts(records):
                 return
             del self._accepting[name]
-            if filling.add(records):
-                filling.batch.accepted.append(name)
+            if builder.add(records):
+                builder.batch.accepted.append(name)
 
-    def _add_progress(self, filling: "_Filling") -> None:
+    def _add_progress(self, builder: "_BatchBuilder") -> None:
         state = self._state
         while state.dirty:
             name, job = next(iter(state.dirty.items()))
@@ -190,29 +192,30 @@
             records = [progress_record(name, progress, state.settings.record_bytes)]
             if job.state.final:
                 records.append(Record(JOB_PREFIX + name))
-            if not filling.room_for(records):
+            if not builder.accepts(records):
                 return
             del state.dirty[name]
-            if filling.add(records):
-                filling.batch.states[name] = int(job.state)
+            if builder.add(records):
+                builder.batch.states[name] = int(job.state)
 
-    def _add_ends(self, batch: Batch) -> None:
+    def _add_completions(self, batch: Batch) -> None:
         for row in self._state.vms.values():
             if row.seen_end > row.noted_end:
                 row.noted_end = row.seen_end
                 batch.ends[row.name] = row.seen_end
 
     def durable(self, batch: Batch) -> None:
-        """Take that a batch is in the store."""
+        """Handle a batch that is in the store."""
         for name in batch.accepted:
             job = self._state.jobs.get(name)
             if job is not None:
                 job.durable = True
         for name, number in batch.states.items():
-            self._shown(name, JobState(number))
+            self._show_state(name, JobState(number))
         for vm, number in batch.used.items():
             row = self._state.vms.get(vm)
-            # One that was dropped since, or dropped and made anew, says nothing of the last one.
+            # A record that has since been dropped, or dropped and replaced, says nothing about the
+            # latest one.
             current = row is not None and row.recorded and row.uses == number
             if row is not None and current and not row.in_use:
                 row.in_use = True
@@ -224,47 +227,49 @@
         for run in batch.noted:
             run.noted = True
 
-    def _shown(self, name: str, noted: JobState) -> None:
+    def _show_state(self, name: str, recorded: JobState) -> None:
         job = self._state.jobs.get(name)
         if job is None or job.shown.final:
             return
-        job.shown = noted
-        if noted.final:
+        job.shown = recorded
+        if recorded.final:
             job_ended(self._state.logger, job, self._state.now, self._state.wall_ms)
             job.run_ends.clear()
-            # Its payload and tasks are not needed any more, its shapes are for late runs.
+            # The payload and the tasks are no longer needed; the shapes are, for runs that are
+            # reported late.
             spec = JobSpec("", job.record.spec.steps)
             job.record = msgspec.structs.replace(job.record, spec=spec)
             job.steps = {}
 
 
-def _lately_ordered(run: RunRow) -> tuple[bool, float]:
-    """Order runs by how lately they were ordered, those first that are about to be."""
+def _start_request_order(run: RunRow) -> tuple[bool, float]:
+    """Return a sort key: runs about to be requested first, then the latest requests."""
     return (run.state is not RunState.NOTING, -run.sent_at)
 
 
-class _Filling:
-    """A batch that is being filled, up to its bytes."""
+class _BatchBuilder:
+    """A batch that is being filled up to its limit in bytes."""
 
     def __init__(self, state: State) -> None:
         self._state = state
-        self._room = state.settings.call_bytes // CALLS_SHARE
-        self._full = False
+        self._free_bytes = state.settings.call_bytes // CALL_LIMIT_DIVISOR
+        self._is_full = False
         self.batch = Batch([])
 
-    def room_for(self, records: list[Record]) -> bool:
-        """Tell whether records that go together may be added; some may always be to none.
+    def accepts(self, records: list[Record]) -> bool:
+        """Return whether records that belong together fit; an empty batch takes any.
 
-        After some that may not, no others may: they may be about the same job, and come later.
+        After a rejection all further records are rejected too: they may concern the same job and
+        must come later.
         """
-        if self.batch.records and call_size(records) > self._room:
-            self._full = True
-        return not self._full
+        if self.batch.records and call_size(records) > self._free_bytes:
+            self._is_full = True
+        return not self._is_full
 
     def add(self, records: list[Record]) -> bool:
-        """Add records; ``False`` tells that one is too large for the store, so that none is added.
+        """Add records; return ``False``, adding none, if one is too large for the store.
 
-        To send it would hold up all that comes after it.
+        Sending such a record would block everything that comes after it.
         """
         limit = self._state.settings.record_bytes
         for record in records:
@@ -272,6 +277,6 @@
                 extra = {"key": record.key, "bytes": record_size(record)}
                 self._state.logger.error("record too large", extra=extra)
                 return False
-        self._room -= call_size(records)
+        self._free_bytes -= call_size(records)
         self.batch.records += records
         return True
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -97,7 +97,8 @@
     counted: Shape = Shape()
     """What the run counts against its organisation's cap."""
     settle_clock: float = 0.0
-    """VM clock in ms; a run that a later report does not list will never exist there."""
+    """VM clock in ms: if a report with a later clock does not list the run, it will never exist
+    there."""
     started_at: float = 0.0
     stop_sent_at: float = NEVER
     listed: bool = False
