--- a/benchmarks/played_day.py
+++ b/benchmarks/played_day.py
@@ -80,7 +80,9 @@
         for line in lines:
             self._take(line)
         self.no_leader = _no_leader(lines)
-        self.unsettled = spans(_times(lines, "leading"), _times(lines, "former runs settled"))
+        self.unsettled = spans(
+            _times(lines, "leading"), _times(lines, "runs of previous leaders settled")
+        )
         leaders = _leaders_lines(lines)
         self.store_down = spans(
             _times(leaders, "store does not answer"), _times(leaders, "store answers")
--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -1,7 +1,7 @@
-"""The job scheduler of one leadership: events in, actions out.
+"""The job scheduler of one leader: events in, actions out.
 
-It has no I/O, and its clock is handed in. Its runtime, or a test, lets it look at the clock before
-each event and carries out the actions that it gives.
+It does no I/O, and its clock is passed in. Its runtime, or a test, has it read the clock before
+each event and carries out the actions that it returns.
 """
 
 import enum
@@ -47,18 +47,18 @@
 
 __all__ = ["Clock", "JobScheduler", "StartRefusal", "Submission"]
 
-UNHEALTHY_PAUSE = 1.5
-"""Seconds without new work after a VM has said that it is not well."""
-LATE_PAUSE = 0.2
-"""Seconds without new work after a VM has refused a start as late: until it has been looked at."""
-FULL_PAUSE = 0.5
-"""Seconds without new work after a VM has said that it is full: until its next word is in."""
-SLOW_SYSTEMS_INTERVAL = 0.5
-"""Seconds between runs of the systems that need not run at each tick."""
+UNHEALTHY_PAUSE_S = 1.5
+"""Time without new work after a VM has reported that it is unhealthy."""
+LATE_PAUSE_S = 0.2
+"""Time without new work after a VM has refused a start as late, until it has been polled."""
+FULL_PAUSE_S = 0.5
+"""Time without new work after a VM has reported that it is full, until its next report."""
+SLOW_SYSTEMS_INTERVAL_S = 0.5
+"""Time between runs of the systems that need not run at each tick."""
 
 
 class Clock(Protocol):
-    """Where the time comes from."""
+    """The source of time."""
 
     def monotonic(self) -> float:
         """Return local monotonic seconds."""
@@ -70,7 +70,7 @@
 
 
 class Submission(enum.Enum):
-    """What became of a submission at once."""
+    """Immediate result of a submission."""
 
     KNOWN = "known"
     """The job is in the store already."""
@@ -90,7 +90,7 @@
 
 
 class JobScheduler:
-    """Decides which task runs where, for as long as its process leads."""
+    """Decides which task runs where while its process leads."""
 
     def __init__(self, settings: JobSettings, epoch: int, clock: Clock) -> None:
         self._clock = clock
@@ -131,38 +131,39 @@
         self.reconcile.on_end = self.health.ended
         self.evacuation = Evacuation(self.state, self.reconcile)
         self.pacing = Pacing(self.state)
-        self._unnamed: dict[str, VmInfo] = {}
-        """VMs of pools that the configuration does not name, which are not used."""
-        self._slow_at = now
+        self._vms_of_unnamed_pools: dict[str, VmInfo] = {}
+        """VMs of pools that the configuration does not name; they are not used."""
+        self._slow_systems_ran_at = now
 
     # -- Time --------------------------------------------------------------------------------
 
     def now(self) -> None:
-        """Take the time from the clock."""
+        """Read the time from the clock."""
         self.state.now = max(self.state.now, self._clock.monotonic())
         self.state.wall_ms = self._clock.wall_ms()
 
     def tick(self, noting: bool = True, confirmed_at: float | None = None) -> list[Action]:
-        """Run the systems and return what is to be done.
+        """Run the systems and return the actions to carry out.
 
-        ``noting`` tells whether the store answers, so that ends can be noted; ``confirmed_at`` is
-        the local time up to which nobody else led, this moment if not given.
+        ``noting`` says whether the store answers, so that completions can be recorded;
+        ``confirmed_at`` is the local time up to which no other leader existed, by default the
+        current time.
         """
         state = self.state
         if noting and not state.noting:
-            # What had to wait for the store may start.
+            # Starts that had to wait for the store are possible again.
             state.freed += 1
         state.noting = noting
         state.confirmed_at = state.now if confirmed_at is None else confirmed_at
         self.lifecycle.open_due()
-        if state.now - self._slow_at >= SLOW_SYSTEMS_INTERVAL:
-            self._slow_at = state.now
-            self._run_slow()
+        if state.now - self._slow_systems_ran_at >= SLOW_SYSTEMS_INTERVAL_S:
+            self._slow_systems_ran_at = state.now
+            self._run_slow_systems()
         if not state.former_settled and self.vms.all_heard():
             state.former_settled = True
             state.settled_at = state.now
             state.freed += 1
-            state.logger.info("former runs settled", extra={"vms": len(state.vms)})
+            state.logger.info("runs of previous leaders settled", extra={"vms": len(state.vms)})
         self.health.run()
         self.speeds.run()
         self.crashes.run()
@@ -176,7 +177,7 @@
         self.advice.run()
         return state.take_actions()
 
-    def _run_slow(self) -> None:
+    def _run_slow_systems(self) -> None:
         for row in self.vms.expire():
             if row.recorded:
                 self.journal.unuse(row)
@@ -192,25 +193,26 @@
     # -- Recovery ----------------------------------------------------------------------------
 
     def load(self, records: Iterable[Record]) -> None:
-        """Take what former leaders have recorded."""
+        """Load the records of previous leaders."""
         jobs: dict[str, JobRecord] = {}
         progress: dict[str, Progress] = {}
         for record in records:
             try:
                 self._load_record(record, jobs, progress)
             except msgspec.DecodeError as error:
-                # Nothing is dropped for it: a later version may be able to read it.
+                # The record is kept: a later version may be able to read it.
                 extra = {"key": record.key, "error": str(error)}
                 self.state.logger.error("undecodable record", extra=extra)
         for name, job in sorted(jobs.items(), key=lambda item: item[1].accepted_ms):
-            noted = progress.pop(name, None)
-            row = self.lifecycle.restore(name, job, noted)
-            if noted is not None:
-                self.crashes.restore(row, noted)
+            stored = progress.pop(name, None)
+            row = self.lifecycle.restore(name, job, stored)
+            if stored is not None:
+                self.crashes.restore(row, stored)
         for name, ended in progress.items():
             if JobState(ended.state).final:
                 self.lifecycle.restore_ended(name, ended)
-        # A life that another has followed has crashed, which counts for the jobs restored.
+        # An incarnation that another one has followed has crashed, which counts for the restored
+        # jobs.
         self.vms.loaded()
         self.vms.former_may_order()
 
@@ -226,27 +228,27 @@
             self._load_vm(name, record.value)
 
     def _load_vm(self, name: str, value: bytes) -> None:
-        noted = decode_vm(value)
+        stored = decode_vm(value)
         info = VmInfo(
             name,
-            noted.address,
-            noted.pool,
+            stored.address,
+            stored.pool,
             Shape(),
-            machine=noted.machine,
-            instance=noted.instance,
-            born=noted.born,
+            machine=stored.machine,
+            instance=stored.instance,
+            born=stored.born,
         )
         row = self.vms.load(info)
-        if noted.deaf:
+        if stored.deaf:
             self.vms.doubted(row, 0)
-        row.noted_speed = noted.speed
+        row.noted_speed = stored.speed
         self.speeds.restore(row)
-        self.state.doubts[name] = noted.suspects
+        self.state.doubts[name] = stored.suspects
 
     # -- Configuration and VMs ---------------------------------------------------------------
 
     def configured(self, configuration: Configuration) -> bool:
-        """Take a configuration and tell whether it is newer than the one in force."""
+        """Apply a configuration if it is newer than the one in force, and return whether it is."""
         state = self.state
         if configuration.version <= state.configuration.version:
             return False
@@ -256,7 +258,7 @@
         for organisation in configuration.organisations:
             state.organisations[organisation.name] = organisation
         state.freed += 1
-        for info in list(self._unnamed.values()):
+        for info in list(self._vms_of_unnamed_pools.values()):
             self.told(info)
         state.logger.info(
             "configuration in force",
@@ -265,58 +267,59 @@
         return True
 
     def listed(self, infos: Sequence[VmInfo]) -> list[VmRow]:
-        """Take the whole list of VMs; return the new ones."""
+        """Handle the complete list of VMs; return the rows of the new ones."""
         entries = {info.entry for info in infos}
-        for gone in self._unnamed.keys() - entries:
-            del self._unnamed[gone]
-        new = self.vms.listed([info for info in infos if self._named(info)])
-        self._use(new)
+        for removed in self._vms_of_unnamed_pools.keys() - entries:
+            del self._vms_of_unnamed_pools[removed]
+        new = self.vms.listed([info for info in infos if self._has_named_pool(info)])
+        self._record_use(new)
         return new
 
     def told(self, info: VmInfo) -> VmRow | None:
-        """Take one VM's entry; return its row if it is new."""
-        if not self._named(info):
+        """Handle the entry of one VM; return its row if it is new."""
+        if not self._has_named_pool(info):
             return None
         row = self.vms.told(info)
         if row is not None:
-            self._use([row])
+            self._record_use([row])
         return row
 
     def rooms_known(self, asked_at: float) -> None:
-        """Take that the VMs' entries were read, by a question of some local time."""
+        """Record that the VMs' entries were read by a request sent at a local time."""
         self.now()
         self.vms.rooms_known(asked_at)
 
     def left_list(self, entry: str) -> None:
-        """Take that a VM's entry is gone, or names no VM any more."""
-        self._unnamed.pop(entry, None)
+        """Handle a VM's entry that was removed or names no VM any more."""
+        self._vms_of_unnamed_pools.pop(entry, None)
         self.vms.left_list(entry)
 
     def other_life(self, row: VmRow, found: OtherLife, acked: int) -> None:
-        """Take that a call for a VM's life was carried out by a later one.
+        """Handle a call for a VM's incarnation that a later incarnation carried out.
 
-        ``acked`` is the end of the former life that the call has acknowledged, 0 if none.
+        ``acked`` is the last completion of the earlier incarnation that the call acknowledged, 0 if
+        none.
         """
         new = self.vms.another_life(row, found.vm, found.born)
         if new is not None:
-            self._use([new])
+            self._record_use([new])
         if acked:
             self.vms.deafened(found.vm, acked)
 
-    def _named(self, info: VmInfo) -> bool:
-        """Tell whether a VM's pool is named, and keep one that is not until it may be."""
+    def _has_named_pool(self, info: VmInfo) -> bool:
+        """Return whether a VM's pool is named; if not, keep the VM in case it is named later."""
         configuration = self.state.configuration
         any_pool = configuration.version >= 0 and not configuration.pools
         if any_pool or self.vms.known(info.entry) or info.pool in configuration.pools:
-            self._unnamed.pop(info.entry, None)
+            self._vms_of_unnamed_pools.pop(info.entry, None)
             return True
-        if info.entry not in self._unnamed and configuration.version >= 0:
+        if info.entry not in self._vms_of_unnamed_pools and configuration.version >= 0:
             extra = {"vm": info.name, "pool": info.pool, "version": configuration.version}
             self.state.logger.info("VM of a pool that is not named", extra=extra)
-        self._unnamed[info.entry] = info
+        self._vms_of_unnamed_pools[info.entry] = info
         return False
 
-    def _use(self, rows: list[VmRow]) -> None:
+    def _record_use(self, rows: list[VmRow]) -> None:
         for row in rows:
             if not row.recorded:
                 self.journal.use(row)
@@ -324,27 +327,27 @@
     # -- Callers -----------------------------------------------------------------------------
 
     def submit(self, name: str, queue: Queue, spec: JobSpec, organisation: str = "") -> Submission:
-        """Take a job of an organisation, or find that it is known."""
+        """Accept a job of an organisation, or find that it is known."""
         known = self.state.jobs.get(name)
         if known is not None:
             return Submission.KNOWN if known.durable else Submission.PENDING
-        job = self.lifecycle.create(name, self._record(queue, spec, organisation))
+        job = self.lifecycle.create(name, self._job_record(queue, spec, organisation))
         self.journal.accept(job)
         return Submission.PENDING
 
     def record_fault(
         self, name: str, queue: Queue, spec: JobSpec, organisation: str
     ) -> SpecError | None:
-        """Return what of a job is too large to be recorded, now or as it goes on."""
-        record = self._record(queue, spec, organisation)
+        """Return which part of a job is too large to be recorded, now or as the job proceeds."""
+        record = self._job_record(queue, spec, organisation)
         return record_fault(name, record, self.state.settings.record_bytes)
 
-    def _record(self, queue: Queue, spec: JobSpec, organisation: str) -> JobRecord:
+    def _job_record(self, queue: Queue, spec: JobSpec, organisation: str) -> JobRecord:
         state = self.state
         return JobRecord(queue.terms, spec, state.wall_ms, state.epoch, organisation, queue.public)
 
     def withdraw(self, name: str) -> bool:
-        """Take back a job whose acceptance has not been sent to the store."""
+        """Withdraw a job whose acceptance has not been sent to the store."""
         if not self.journal.withdraw(name):
             return False
         job = self.state.jobs.pop(name)
@@ -370,15 +373,15 @@
     # -- VMs' answers ------------------------------------------------------------------------
 
     def heard(self, heard: Heard) -> bool:
-        """Take a VM's word; tell whether ends are to be noted."""
+        """Handle a VM's report; return whether it lists new completions to be recorded."""
         return self.reconcile.heard(heard)
 
     def start_refused(
         self, vm: str, task: str, number: int, why: StartRefusal, certain: bool
     ) -> None:
-        """Take that a VM refused a start.
+        """Handle a VM's refusal of a start.
 
-        ``certain`` tells whether no earlier order for the run went without an answer.
+        ``certain`` says that no earlier request to start the run was left without an answer.
         """
         row = self.state.vms.get(vm)
         if row is None:
@@ -388,12 +391,12 @@
             extra={"task": task, "run": number, "vm": vm, "why": why.value},
         )
         if why is StartRefusal.UNHEALTHY:
-            row.avoid_until = self.state.now + UNHEALTHY_PAUSE
+            row.avoid_until = self.state.now + UNHEALTHY_PAUSE_S
         elif why is StartRefusal.ROOM:
-            row.avoid_until = self.state.now + FULL_PAUSE
+            row.avoid_until = self.state.now + FULL_PAUSE_S
         elif why is StartRefusal.LATE:
-            # Its clock is not the one that was known: its next life may have answered.
-            row.avoid_until = self.state.now + LATE_PAUSE
+            # Its clock differs from the known one: its next incarnation may have answered.
+            row.avoid_until = self.state.now + LATE_PAUSE_S
             self.state.emit(LookAt(vm))
         elif why is StartRefusal.TICKET:
             found = self.state.task(task)
@@ -403,18 +406,18 @@
             self.reconcile.not_started(vm, task, number)
 
     def uncertain_on(self, vm: str) -> bool:
-        """Tell whether a start on a VM is not known to have come to pass."""
+        """Return whether it is unknown of some requested start whether the VM carried it out."""
         row = self.state.vms.get(vm)
         return row is not None and any(run.state is RunState.SENT for run in row.runs.values())
 
     # -- The store ---------------------------------------------------------------------------
 
     def next_batch(self) -> Batch:
-        """Return what is to be appended next."""
+        """Return the records to append next."""
         return self.journal.next_batch()
 
     def durable(self, batch: Batch) -> None:
-        """Take that a batch is in the store."""
+        """Handle a batch that is in the store."""
         self.journal.durable(batch)
         for name in batch.accepted:
             job = self.state.jobs.get(name)
