--- a/src/sablemount/jobs/__init__.py
+++ b/src/sablemount/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Scheduling of jobs: steps of tasks under leases, one leader, state kept in a store."""
+"""The job scheduler: steps of tasks run under leases, with one leader and its state in a store."""
--- a/src/sablemount/jobs/actions.py
+++ b/src/sablemount/jobs/actions.py
@@ -1,4 +1,4 @@
-"""What the job scheduler asks its surroundings to do, and what they tell it."""
+"""Actions that the job scheduler asks its runtime to carry out, and the reports it is given."""
 
 from typing import TypeAlias
 
@@ -39,7 +39,7 @@
 
 
 class PaceRun(msgspec.Struct, frozen=True):
-    """Let a run that fills work at a share of its speed."""
+    """Let a best-effort run work at a percentage of its full speed."""
 
     vm: str
     task: str
@@ -48,7 +48,7 @@
 
 
 class AskAdvice(msgspec.Struct, frozen=True):
-    """Ask from a machine which VMs may run a step; ``cost`` is the expected seconds."""
+    """Ask through a call slot which VMs may run a step; ``cost`` is the expected seconds."""
 
     lane: str
     step: str
@@ -57,7 +57,7 @@
 
 
 class LookAt(msgspec.Struct, frozen=True):
-    """Look at a VM at once, beside the look that waits for an end there."""
+    """Poll a VM at once, in addition to the long poll that waits for a completion there."""
 
     vm: str
 
@@ -66,10 +66,10 @@
 
 
 class RunReport(msgspec.Struct, frozen=True, array_like=True):
-    """A run that a VM holds; ``percent`` is how far it is.
+    """A run that a VM holds; ``percent`` is its progress.
 
-    ``figure`` is of the last half second: the tail of its answers' times in ms for a task that
-    serves, else the cores in use (thousandths).
+    ``figure`` covers the last half second: the tail latency in ms for a latency-sensitive task,
+    otherwise the cores in use (thousandths).
     """
 
     task: str
@@ -80,7 +80,10 @@
 
 
 class EndReport(msgspec.Struct, frozen=True, array_like=True):
-    """An end that a VM lists until it is acknowledged; ``number`` rises within its life."""
+    """A completion that a VM lists until it is acknowledged.
+
+    ``number`` rises within an incarnation of the VM.
+    """
 
     number: int
     task: str
@@ -90,7 +93,7 @@
 
 
 class Heard(msgspec.Struct, frozen=True):
-    """A VM's own word; times are local monotonic seconds, the clock is the VM's (ms)."""
+    """A VM's report; times are local monotonic seconds, the clock is the VM's (ms)."""
 
     vm: str
     sent_at: float
@@ -100,9 +103,9 @@
 
 
 class OtherLife(msgspec.Struct, frozen=True):
-    """A call for a VM's life was carried out by a later one, which answers under the same id."""
+    """A call for a VM's incarnation was carried out by a later one with the same id."""
 
     vm: str
-    """Its name."""
+    """Name of the later incarnation."""
     born: int
     """Unix time of its start in ms."""
