--- a/src/sablemount/jobs/caps.py
+++ b/src/sablemount/jobs/caps.py
@@ -1,4 +1,4 @@
-"""What each organisation has running beside its cap: pure over shapes."""
+"""Usage and caps of organisations, computed from shapes without I/O."""
 
 import math
 from collections.abc import Iterator
@@ -8,47 +8,48 @@
 __all__ = ["NO_LIMIT", "Usage", "cap_fault", "places_within"]
 
 NO_LIMIT = 1_000_000_000
-"""Places where no cap binds."""
+"""Number of places where no cap applies."""
 
 
 class Usage:
-    """What the runs of each organisation take over all VMs.
+    """What the runs of each organisation use over all VMs.
 
-    A run counts from before its start is sent until its end is certain.
+    A run counts from before its start is sent until it is known to be over.
     """
 
     def __init__(self) -> None:
-        self._taken: dict[str, Shape] = {}
+        self._usage: dict[str, Shape] = {}
 
     def of(self, organisation: str) -> Shape:
-        """Return what an organisation's runs take."""
-        return self._taken.get(organisation, Shape())
+        """Return what an organisation's runs use."""
+        return self._usage.get(organisation, Shape())
 
     def take(self, organisation: str, shape: Shape, times: int = 1) -> None:
-        """Add a shape a number of times, which is negative for what has ended."""
+        """Add a shape a number of times; the number is negative for runs that are over."""
         if organisation:
-            self._taken[organisation] = self.of(organisation).plus(shape, times)
+            self._usage[organisation] = self.of(organisation).plus(shape, times)
 
     def organisations(self) -> list[str]:
         """Return the organisations that have run something."""
-        return list(self._taken)
+        return list(self._usage)
 
 
 def places_within(shape: Shape, cap: Shape, taken: Shape, unseen: Shape, overage: float) -> int:
-    """Return how many more tasks of a shape a cap leaves room for.
+    """Return how many more tasks of a shape a cap allows.
 
-    What is known to be taken stays within the cap. What may run unseen may exceed it by the share
-    ``overage``: nothing less can be told from it, and it is over soon.
+    The known usage (``taken``) stays within the cap. Runs that may exist without having been seen
+    (``unseen``) may exceed it by the share ``overage``: they can't be counted more precisely, and
+    will soon be over.
     """
-    found = NO_LIMIT
-    for need, limit, known, hidden in _dimensions(shape, cap, taken, unseen):
+    places = NO_LIMIT
+    for need, limit, known, possible in _dimensions(shape, cap, taken, unseen):
         if not need or not limit:
             continue
-        left = limit - known
-        if hidden:
-            left = min(left, math.floor(limit * (1.0 + overage)) - known - hidden)
-        found = min(found, left // need)
-    return max(0, found)
+        remaining = limit - known
+        if possible:
+            remaining = min(remaining, math.floor(limit * (1.0 + overage)) - known - possible)
+        places = min(places, remaining // need)
+    return max(0, places)
 
 
 def _dimensions(*shapes: Shape) -> Iterator[tuple[int, ...]]:
@@ -58,7 +59,7 @@
 
 
 def cap_fault(spec: JobSpec, cap: Shape) -> SpecError | None:
-    """Return what of a job a cap can never hold: a task alone, or a gang as a whole."""
+    """Return which part of a job a cap can never hold: a single task, or an entire gang."""
     return next(_cap_faults(spec, cap), None)
 
 
--- a/src/sablemount/jobs/job_lines.py
+++ b/src/sablemount/jobs/job_lines.py
@@ -1,6 +1,6 @@
-"""Log lines that tell all that was done for a step or a job in one.
+"""Log lines that summarise what was done for a step or a job.
 
-A line for each run would be hundreds a second in a large cell; these are one for each decision,
+One line per run would be hundreds a second in a large cell; instead there is one line per decision,
 with its runs as rows.
 """
 
@@ -10,23 +10,23 @@
 
 __all__ = ["RunCells", "job_ended", "runs_lost", "runs_placed"]
 
-MS = 1000.0
-ROWS_A_LINE = 60
-"""Runs told of in one line at most: with some 60 bytes each, a line stays below 4 KB, which readers
-of logs commonly take whole."""
-BYTES_A_LINE = 3_600
-"""Bytes of the runs in the line of a job's end at most: what else stands there takes 400."""
+MS_PER_S = 1000.0
+MAX_RUNS_PER_LINE = 60
+"""Largest number of runs in one line. With some 60 bytes each, a line stays below 4 KB, which log
+readers commonly accept without splitting it."""
+MAX_RUN_BYTES_PER_LINE = 3_600
+"""Largest number of bytes of runs in a line about a job's end; its other fields take 400."""
 
 RunCells = tuple[str, int, str, float, float, str]
-"""Task within the job, run, VM, when it began and ended (seconds since ``known``), and how."""
+"""Task within the job, run number, VM, start and end (seconds since ``known``), and outcome."""
 
 
 def runs_placed(
     logger: logging.Logger, step: StepRow, chosen: list[tuple[TaskRow, VmRow]], now: float
 ) -> None:
-    """Log which tasks of a step are started where; call it once their runs are entered."""
+    """Log which tasks of a step are started where; to be called once their runs are entered."""
     rows = [(task.index, task.last_run, row.name) for task, row in chosen]
-    for first in range(0, len(rows), ROWS_A_LINE):
+    for first in range(0, len(rows), MAX_RUNS_PER_LINE):
         logger.info(
             "step placed",
             extra={
@@ -37,40 +37,40 @@
                 "capped": round(step.capped(now), 3),
                 "noted_first": sum(task.noted_first for task, _ in chosen),
                 "asked_for": round(0.0 if step.advice is None else step.advice.asked(now), 3),
-                "runs": rows[first : first + ROWS_A_LINE],
+                "runs": rows[first : first + MAX_RUNS_PER_LINE],
             },
         )
 
 
 def runs_lost(logger: logging.Logger, vm: VmRow, now: float) -> None:
-    """Log what is lost with a VM, the latest start first; call it before the runs are taken out.
+    """Log the runs lost with a VM, the latest start first; to be called before they are removed.
 
-    What had just been started when a VM was last heard is the likeliest to have ended its life.
+    A run that was started just before the VM's last report is the most likely cause of the crash.
     """
     runs = sorted(vm.runs.values(), key=lambda run: -run.sent_at)
-    rows = [_lost_cells(run, vm.heard_at) for run in runs]
-    for first in range(0, len(rows), ROWS_A_LINE):
+    rows = [_lost_run_row(run, vm.heard_at) for run in runs]
+    for first in range(0, len(rows), MAX_RUNS_PER_LINE):
         extra = {
             "vm": vm.name,
             "heard_ago": vm.heard_ago(now),
             "runs": len(rows),
-            "lost": rows[first : first + ROWS_A_LINE],
+            "lost": rows[first : first + MAX_RUNS_PER_LINE],
         }
         logger.info("runs lost with VM", extra=extra)
 
 
-def _lost_cells(run: RunRow, heard_at: float) -> tuple[str, int, float, str]:
-    """Return task, run, seconds from its order to the VM's last word (below 0: after), state."""
+def _lost_run_row(run: RunRow, heard_at: float) -> tuple[str, int, float, str]:
+    """Return task, run, seconds from its request to the last report (below 0: after), state."""
     return (run.task, run.number, round(heard_at - run.sent_at, 3), run.state.value)
 
 
 def job_ended(logger: logging.Logger, job: JobRow, now: float, wall_ms: float) -> None:
-    """Log that callers are told from now on that a job has ended, with all that ran for it."""
+    """Log that the end of a job is now visible to callers, with all runs of the job."""
     terms = job.record.terms
     steps = job.record.spec.steps
     known = round(now - job.accepted_at, 3)
-    rows = [_cells(end, job.accepted_at) for end in job.run_ends]
-    first, *others = _parts(rows)
+    rows = [_run_row(end, job.accepted_at) for end in job.run_ends]
+    first, *others = _split_rows(rows)
     for part in others:
         logger.info("job runs", extra={"job": job.name, "known": known, "runs": part})
     logger.info(
@@ -79,7 +79,7 @@
             "job": job.name,
             "organisation": job.organisation,
             "state": job.shown.name.lower(),
-            "seconds": round((wall_ms - job.record.accepted_ms) / MS, 3),
+            "seconds": round((wall_ms - job.record.accepted_ms) / MS_PER_S, 3),
             "known": known,
             "priority": terms.priority,
             "stretch": terms.stretch,
@@ -94,13 +94,13 @@
     )
 
 
-def _parts(rows: list[RunCells]) -> list[list[RunCells]]:
-    """Divide rows over lines, one of them at least."""
+def _split_rows(rows: list[RunCells]) -> list[list[RunCells]]:
+    """Divide rows over lines; return at least one line."""
     parts: list[list[RunCells]] = [[]]
     size = 0
     for row in rows:
         length = len(str(row))
-        if len(parts[-1]) >= ROWS_A_LINE or size + length > BYTES_A_LINE:
+        if len(parts[-1]) >= MAX_RUNS_PER_LINE or size + length > MAX_RUN_BYTES_PER_LINE:
             parts.append([])
             size = 0
         parts[-1].append(row)
@@ -108,7 +108,7 @@
     return parts
 
 
-def _cells(end: RunEnd, since: float) -> RunCells:
+def _run_row(end: RunEnd, since: float) -> RunCells:
     task = end.task.partition(".")[2]
     began, ended = round(end.began - since, 3), round(end.ended - since, 3)
     return (task, end.number, end.vm, began, ended, end.how)
