--- a/src/sablemount/jobs/records.py
+++ b/src/sablemount/jobs/records.py
@@ -1,8 +1,8 @@
-"""What lasts of a job: records under keys of a keyed topic, the newest of each key counting.
+"""Persistent state of jobs: records under the keys of a keyed topic; the newest of each key counts.
 
-``j/JOB`` holds what was accepted and never changes; ``p/JOB`` holds how far it is and is replaced
-with each noted end; ``w/VM`` names a life of a VM that may run something. A record without a value
-drops its key.
+``j/JOB`` holds the accepted job and never changes; ``p/JOB`` holds its progress and is replaced
+with each recorded completion; ``w/VM`` names an incarnation of a VM that may run something. A
+record without a value deletes its key.
 """
 
 import msgspec
@@ -36,60 +36,61 @@
     spec: JobSpec
     accepted_ms: float
     epoch: int
-    """Under which leader it was accepted."""
+    """Epoch of the leader that accepted it."""
     organisation: str = ""
-    """Whose job it is; empty if nobody has shown a key for it."""
+    """Organisation that owns the job; empty if no key was presented for it."""
     public: bool = False
-    """Whether it was handed in where no key is needed, so that anybody may ask for it."""
+    """Whether it was submitted where no key is needed, so that anybody may query it."""
 
 
 class StepProgress(msgspec.Struct, array_like=True):
-    """Noted ends of the tasks of one step and repetition."""
+    """Recorded completions of the tasks of one step and repetition."""
 
     done: str = ""
     """Bit mask of the tasks that are done, as a hexadecimal number."""
     failures: dict[int, tuple[int, ...]] = {}
-    """Runs that failed, by task."""
+    """Numbers of the runs that failed, by task."""
     saved: dict[int, str] = {}
 
 
 class Progress(msgspec.Struct, omit_defaults=True):
-    """How far a job is."""
+    """Progress of a job."""
 
     state: int
     steps: dict[str, StepProgress] = {}
-    """By repetition and step, joined by a dot."""
+    """Progress of each step, by repetition and step joined by a dot."""
     ended_ms: float = 0.0
     organisation: str = ""
     public: bool = False
-    """As in the job's own record, which is dropped at its end."""
+    """As in the record of the accepted job, which is dropped when the job ends."""
     crashes: dict[str, tuple[str, ...]] = {}
-    """VMs that have crashed under a task, by repetition, step and index, joined by dots."""
+    """VMs that crashed under a task, by repetition, step and index joined by dots."""
     weights: dict[str, tuple[float, ...]] = {}
-    """What each of them tells of the task, where some tell less than a clear one."""
+    """Evidence weight of each of these crashes, where some are below the maximum."""
 
 
 class VmRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A VM that may run something."""
+    """An incarnation of a VM that may run something."""
 
     address: str
     pool: str
     suspects: tuple[str, ...] = ()
-    """Tasks that its crash would count for: what was started of late, or all once it is silent."""
+    """Tasks that a crash would be attributed to: recently started ones, or all once the VM is
+    silent."""
     machine: str = ""
-    """By which another life of it is known, wherever that answers."""
+    """Id by which another incarnation of it is recognised, whatever its address."""
     instance: str = ""
-    """Id that its lives share, if that is not its name."""
+    """Id that its incarnations share, if that is not its name."""
     born: int = 0
-    """Unix time of its start in ms; 0 if that is not known."""
+    """Unix time of its start in ms; 0 if unknown."""
     deaf: bool = False
-    """Whether ends there may go unlisted, so that nothing may be started."""
+    """Whether completions there may go unlisted, so that nothing may be started."""
     speed: float = 0.0
-    """Its speed beside the usual one, as a logarithm; 0 also where it is not known."""
+    """Its speed relative to the usual one, as a logarithm; 0 also if unknown."""
 
 
 class Record(msgspec.Struct, frozen=True):
-    """A key with its new value; an empty value drops the key."""
+    """A key with its new value; an empty value deletes the key."""
 
     key: str
     value: bytes = b""
--- a/src/sablemount/jobs/sizes.py
+++ b/src/sablemount/jobs/sizes.py
@@ -1,7 +1,8 @@
-"""What fits into the store: bytes of records, and how far a job is in a record's room.
+"""Sizes of records in the store, and how a job's progress is cut to the size of a record.
 
-Of a job's progress, what is done always fits, or the job is not taken. Crashes, failures and saved
-states are left out where they don't: later leaders then allow more attempts, or start tasks anew.
+Which tasks are done always fits into the progress record; otherwise the job is refused. Crashes,
+failures and saved states are left out where they do not fit: later leaders then allow more
+attempts, or start tasks from the beginning.
 """
 
 import msgspec
@@ -19,99 +20,103 @@
 
 __all__ = ["call_size", "progress_record", "record_fault", "record_size"]
 
-KEY_HEAD = 1
-"""Bytes before a record's key."""
-RECORD_HEAD = 4
-"""Bytes before a record in a call."""
-PROGRESS_BYTES = 64
-"""Bytes of a job's progress beside its steps at most, while it has not ended."""
-STEP_BYTES = 11
-"""Bytes of a step's progress beside its key and its mask at most: the heads of five values."""
-TABLE_BYTES = 8
-"""Bytes by which the heads of a step's two tables may grow as they are filled."""
-CRASH_TABLE_BYTES = 32
-"""Bytes of the names and heads of the tables of crashes and their weights at most."""
-PAIR_HEAD = 1
+KEY_HEADER_BYTES = 1
+"""Bytes before the key of a record."""
+RECORD_HEADER_BYTES = 4
+"""Bytes before each record of a call."""
+MAX_PROGRESS_BASE_BYTES = 64
+"""Upper bound of a progress record's bytes without its steps, while the job has not ended."""
+MAX_STEP_BASE_BYTES = 11
+"""Upper bound of the bytes of a step's progress without its key and mask: five value headers."""
+TABLE_HEADER_GROWTH_BYTES = 8
+"""Bytes by which the headers of a step's two tables may grow as entries are added."""
+MAX_CRASH_TABLES_BASE_BYTES = 32
+"""Upper bound of the bytes of the names and headers of the tables of crashes and weights."""
+PAIR_HEADER_BYTES = 1
 """Bytes by which a pair is longer than its two values."""
-BITS = 4
-"""Tasks in a character of a mask."""
+TASKS_PER_MASK_DIGIT = 4
+"""Number of tasks per character of a mask."""
 
 
 def record_size(record: Record) -> int:
-    """Return the bytes of a record, as the store counts them."""
-    return KEY_HEAD + len(record.key.encode()) + len(record.value)
+    """Return the size of a record in bytes, as the store counts it."""
+    return KEY_HEADER_BYTES + len(record.key.encode()) + len(record.value)
 
 
 def call_size(records: list[Record]) -> int:
-    """Return the bytes of a call that appends records."""
-    return sum(RECORD_HEAD + record_size(record) for record in records)
+    """Return the size in bytes of a call that appends records."""
+    return sum(RECORD_HEADER_BYTES + record_size(record) for record in records)
 
 
 def record_fault(name: str, job: JobRecord, limit: int) -> SpecError | None:
-    """Return what of a job is too large for its records, of ``limit`` bytes each at most."""
+    """Return which part of a job is too large for a record of at most ``limit`` bytes."""
     if record_size(Record(JOB_PREFIX + name, encode(job))) > limit:
         return SpecError("$.steps", f"more than fits into a record of {limit} bytes")
-    if _progress_size(name, job.spec, 1) > limit:
+    if _max_progress_size(name, job.spec, 1) > limit:
         return SpecError("$.steps", f"what is done does not fit into a record of {limit} bytes")
-    if _progress_size(name, job.spec, max(1, job.spec.times)) > limit:
+    if _max_progress_size(name, job.spec, max(1, job.spec.times)) > limit:
         return SpecError("$.times", f"what is done does not fit into a record of {limit} bytes")
     return None
 
 
-def _progress_size(name: str, spec: JobSpec, times: int) -> int:
-    """Return what the record of all that is done after some repetitions takes at most."""
+def _max_progress_size(name: str, spec: JobSpec, times: int) -> int:
+    """Return the largest size of the progress record after some number of repetitions."""
     key = len(f"{times - 1}.{len(spec.steps) - 1}")
-    steps = sum(STEP_BYTES + key + step.count // BITS + 1 for step in spec.steps)
-    return record_size(Record(PROGRESS_PREFIX + name)) + PROGRESS_BYTES + times * steps
+    steps = sum(
+        MAX_STEP_BASE_BYTES + key + step.count // TASKS_PER_MASK_DIGIT + 1 for step in spec.steps
+    )
+    return record_size(Record(PROGRESS_PREFIX + name)) + MAX_PROGRESS_BASE_BYTES + times * steps
 
 
 def progress_record(name: str, progress: Progress, limit: int) -> Record:
-    """Return the record of a job's progress, with what fits into ``limit`` bytes."""
+    """Return the record of a job's progress, reduced to what fits into ``limit`` bytes."""
     record = Record(PROGRESS_PREFIX + name, encode(progress))
     if record_size(record) <= limit:
         return record
-    bare = {key: StepProgress(noted.done) for key, noted in progress.steps.items()}
-    kept = Progress(progress.state, bare)
-    least = record_size(Record(PROGRESS_PREFIX + name, encode(kept)))
-    room = limit - least - TABLE_BYTES * len(bare) - CRASH_TABLE_BYTES
-    _fill(kept, progress, _fill_crashes(kept, progress, room))
+    done_only = {key: StepProgress(value.done) for key, value in progress.steps.items()}
+    kept = Progress(progress.state, done_only)
+    base_size = record_size(Record(PROGRESS_PREFIX + name, encode(kept)))
+    free_bytes = (
+        limit - base_size - TABLE_HEADER_GROWTH_BYTES * len(done_only) - MAX_CRASH_TABLES_BASE_BYTES
+    )
+    _add_failures_and_saved(kept, progress, _add_crashes(kept, progress, free_bytes))
     return Record(PROGRESS_PREFIX + name, encode(kept))
 
 
-def _fill_crashes(kept: Progress, progress: Progress, room: int) -> int:
-    """Add crashes as far as there is room; return what is left of it."""
+def _add_crashes(kept: Progress, progress: Progress, free_bytes: int) -> int:
+    """Add crashes as far as there is room; return the remaining bytes."""
     for key, vms in progress.crashes.items():
         weights = progress.weights.get(key)
-        room -= _entry_size(key, vms)
-        room -= 0 if weights is None else _entry_size(key, weights)
-        if room < 0:
-            return room
+        free_bytes -= _entry_size(key, vms)
+        free_bytes -= 0 if weights is None else _entry_size(key, weights)
+        if free_bytes < 0:
+            return free_bytes
         kept.crashes[key] = vms
         if weights is not None:
             kept.weights[key] = weights
-    return room
+    return free_bytes
 
 
 def _entry_size(
-    index: int | str, noted: tuple[int, ...] | tuple[float, ...] | tuple[str, ...] | str
+    index: int | str, value: tuple[int, ...] | tuple[float, ...] | tuple[str, ...] | str
 ) -> int:
-    """Return the bytes of an entry of a table."""
-    return len(msgspec.msgpack.encode((index, noted))) - PAIR_HEAD
+    """Return the bytes of a table entry."""
+    return len(msgspec.msgpack.encode((index, value))) - PAIR_HEADER_BYTES
 
 
-def _fill(kept: Progress, progress: Progress, room: int) -> None:
-    """Add failures, and then saved states, as far as there is room."""
-    if room < 0:
+def _add_failures_and_saved(kept: Progress, progress: Progress, free_bytes: int) -> None:
+    """Add failures, then saved states, as far as there is room."""
+    if free_bytes < 0:
         return
-    for key, noted in progress.steps.items():
-        for index, runs in noted.failures.items():
-            room -= _entry_size(index, runs)
-            if room < 0:
+    for key, value in progress.steps.items():
+        for index, runs in value.failures.items():
+            free_bytes -= _entry_size(index, runs)
+            if free_bytes < 0:
                 return
             kept.steps[key].failures[index] = runs
-    for key, noted in progress.steps.items():
-        for index, text in noted.saved.items():
-            room -= _entry_size(index, text)
-            if room < 0:
+    for key, value in progress.steps.items():
+        for index, text in value.saved.items():
+            free_bytes -= _entry_size(index, text)
+            if free_bytes < 0:
                 return
             kept.steps[key].saved[index] = text
