--- a/src/sablemount/jobs/model.py
+++ b/src/sablemount/jobs/model.py
@@ -28,50 +28,51 @@
     "task_key",
 ]
 
-MANY = 1_000_000
-"""How often what takes nothing fits."""
+UNLIMITED_COPIES = 1_000_000
+"""Number of copies of a shape that needs nothing."""
 LIFE_SEPARATOR = "/"
-"""Behind the key of an entry in the name of a life; no key holds it."""
+"""Follows the key of an entry in the name of an incarnation; no key contains it."""
 MAX_PAYLOAD_BYTES = 4_000
-"""Bytes of a job's payload at most, as the platform's pages say."""
+"""Largest payload of a job, as documented by the platform."""
 MAX_STEPS = 1_000
-"""Steps of a job at most: each costs rows of tables for as long as the job lives."""
+"""Largest number of steps of a job: each takes rows of tables for as long as the job lives."""
 MAX_TASKS = 20_000
-"""Tasks of a job at most, so that no single job takes a large part of a process's memory."""
+"""Largest number of tasks of a job, so that no single job takes a large part of a process's memory.
+"""
 MAX_SPEC_BYTES = 250_000
-"""Bytes of a whole job as it is recorded at most: 12 KB less than a record usually may have."""
+"""Largest size of an entire job as recorded: 12 KB less than the usual limit of a record."""
 
 
 class Shape(msgspec.Struct, frozen=True, array_like=True):
-    """What a task takes or a VM has: thousandths of a core, megabytes, accelerators."""
+    """What a task needs or a VM has: thousandths of a core, megabytes, accelerators."""
 
     cores: int = 0
     memory: int = 0
     accelerators: int = 0
 
-    def fits(self, room: "Shape") -> bool:
-        """Tell whether this shape fits into some room."""
+    def fits(self, capacity: "Shape") -> bool:
+        """Return whether this shape fits into a capacity."""
         return (
-            self.cores <= room.cores
-            and self.memory <= room.memory
-            and self.accelerators <= room.accelerators
+            self.cores <= capacity.cores
+            and self.memory <= capacity.memory
+            and self.accelerators <= capacity.accelerators
         )
 
-    def times_in(self, room: "Shape") -> int:
-        """Return how often this shape fits into some room."""
+    def times_in(self, capacity: "Shape") -> int:
+        """Return how many copies of this shape fit into a capacity."""
         fits = [
             have // need
             for need, have in (
-                (self.cores, room.cores),
-                (self.memory, room.memory),
-                (self.accelerators, room.accelerators),
+                (self.cores, capacity.cores),
+                (self.memory, capacity.memory),
+                (self.accelerators, capacity.accelerators),
             )
             if need > 0
         ]
-        return max(0, min(fits, default=MANY))
+        return max(0, min(fits, default=UNLIMITED_COPIES))
 
     def plus(self, other: "Shape", times: int = 1) -> "Shape":
-        """Return this shape with another one added a number of times, which may be negative."""
+        """Return this shape plus a multiple of another one; the factor may be negative."""
         return Shape(
             self.cores + times * other.cores,
             self.memory + times * other.memory,
@@ -80,7 +81,7 @@
 
 
 class StepSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A step of a job: tasks that are alike."""
+    """A step of a job: a number of identical tasks."""
 
     count: int
     shape: Shape = Shape()
@@ -91,7 +92,7 @@
     label: str = ""
     rack: str = ""
     spread: int = 0
-    """At most this many tasks of the step on one VM; 0 for any number."""
+    """Largest number of tasks of the step on one VM; 0 for any number."""
     speculative: bool = False
     lasting: bool = False
     saves: bool = False
@@ -109,17 +110,17 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a client hands in; ``payload`` is passed to the VMs as it is."""
+    """A job as submitted by a client; ``payload`` is passed to the VMs unchanged."""
 
     payload: str
     steps: tuple[StepSpec, ...]
     times: int = 0
-    """How often the steps run; 0 for once, without a due time."""
+    """Number of repetitions of the steps; 0 for a single run without a due time."""
     first_due_ms: float = 0.0
     interval_ms: float = 0.0
 
     def repetitions(self) -> range:
-        """Return the numbers of the times that the steps run."""
+        """Return the numbers of the repetitions of the steps."""
         return range(max(1, self.times))
 
     def due_ms(self, repetition: int) -> float:
@@ -129,12 +130,12 @@
         return self.first_due_ms + repetition * self.interval_ms
 
     def lasts(self) -> bool:
-        """Tell whether some step runs until the job is cancelled."""
+        """Return whether some step runs until the job is cancelled."""
         return any(step.lasting for step in self.steps)
 
 
 class AdviceTerms(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a call for advice costs and how long its tickets hold, in milliseconds."""
+    """Cost of a call for advice and validity of its tickets, in milliseconds."""
 
     decide_ms: float = 0.0
     each_ms: float = 0.0
@@ -154,7 +155,7 @@
 
 
 class Queue(msgspec.Struct, frozen=True):
-    """A queue and where callers find it."""
+    """A queue and the host and path prefix where callers reach it."""
 
     host: str
     prefix: str
@@ -164,47 +165,48 @@
 
 
 class Organisation(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Who pays for work: what tells its callers from others, and how much it may run."""
+    """An owner of jobs: how its callers are recognised, and how much it may run."""
 
     name: str
     key_digests: tuple[bytes, ...] = ()
-    """Digests of the keys that its callers may show; the keys themselves are kept nowhere."""
+    """Digests of the keys that its callers may present; the keys themselves are not stored."""
     weight: float = 1.0
-    """Its share when everything is full, beside the others' weights."""
+    """Its share relative to the weights of the others when all capacity is in use."""
     cap: Shape = Shape()
-    """What it may have running over all VMs; 0 of something is no limit."""
+    """What it may have running over all VMs; 0 in a dimension means no limit."""
 
 
 class RequestLimits(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Bounds of a caller's request; 0 leaves one to the process's own default."""
+    """Limits of a caller's request; 0 selects the process's own default."""
 
     header_bytes: int = 0
     body_bytes: int = 0
     header_seconds: float = 0.0
-    """Time in which a request's headers have to be there, from their first byte."""
+    """Time within which a request's headers must arrive, from their first byte."""
     idle_seconds: float = 0.0
     """Time after which a connection without a request is closed."""
 
 
 class Configuration(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One version of what the operator has published."""
+    """One version of the configuration that the operator has published."""
 
     version: int = -1
     queues: tuple[Queue, ...] = ()
     guarded_pools: frozenset[str] = frozenset()
-    """Pools whose VMs reject what does not fit."""
+    """Pools whose VMs reject starts that do not fit."""
     keyed: bool = False
-    """Whether callers have to show a key of an organisation, but for public queues."""
+    """Whether callers must present a key of an organisation, except for public queues."""
     organisations: tuple[Organisation, ...] = ()
     limits: RequestLimits = RequestLimits()
     pools: frozenset[str] = frozenset()
-    """Pools that are named, whose VMs may be used; empty if none are told of."""
+    """Named pools, whose VMs may be used; empty if the configuration names none."""
 
 
 class VmInfo(msgspec.Struct, frozen=True):
-    """One life of a VM, as it describes itself.
+    """One incarnation of a VM, as it describes itself.
 
-    ``name`` is the key of its entry; where other lives share that, a separator and more follow.
+    ``name`` is the key of its entry; where several incarnations share the key, a separator and a
+    suffix follow.
     """
 
     name: str
@@ -215,17 +217,17 @@
     draining: bool = False
     machine: str = ""
     leaves_in: float = 0.0
-    """Seconds that are left of a life that drains, at least; 0 if it has not told."""
+    """Seconds that a draining incarnation has left at least; 0 if it has not announced them."""
     revision: int = 0
-    """Orders what one life tells of itself: a list may be some seconds old."""
+    """Orders the descriptions published by one incarnation: a list may be some seconds old."""
     instance: str = ""
-    """Id that its lives share, if that is not its name."""
+    """Id that its incarnations share, if that is not its name."""
     born: int = 0
-    """Unix time of its start in ms; 0 if that is not known."""
+    """Unix time of its start in ms; 0 if unknown."""
 
     @property
     def entry(self) -> str:
-        """Return the key of its entry, which its lives share."""
+        """Return the key of its entry, which its incarnations share."""
         return self.instance or self.name
 
     @property
@@ -235,7 +237,7 @@
 
 
 class SpecError(msgspec.Struct, frozen=True):
-    """What is wrong with a job; ``path`` names the field, such as ``$.steps[1].after``."""
+    """An error in a job; ``path`` names the field, such as ``$.steps[1].after``."""
 
     path: str
     reason: str
@@ -247,7 +249,7 @@
 
 
 def job_of(task: str) -> str:
-    """Return the job that a task's name begins with."""
+    """Return the name of the job that a task belongs to."""
     return task.partition(".")[0]
 
 
@@ -257,21 +259,21 @@
 
 
 class QueueTable:
-    """Finds queues by host and path, in a time that does not grow with their number."""
+    """Finds queues by host and path in a time that does not grow with their number."""
 
     def __init__(self, queues: Iterable[Queue]) -> None:
         self._hosts: dict[str, dict[str, Queue]] = {}
         for queue in queues:
             self._hosts.setdefault(queue.host, {}).setdefault(queue.prefix, queue)
-        self._lengths = {
+        self._prefix_lengths = {
             host: sorted({len(prefix) for prefix in prefixes}, reverse=True)
             for host, prefixes in self._hosts.items()
         }
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of a path at a host."""
+        """Return the queue at a host with the longest prefix that matches a path."""
         prefixes = self._hosts.get(host, {})
-        for length in self._lengths.get(host, ()):
+        for length in self._prefix_lengths.get(host, ()):
             queue = prefixes.get(path[:length])
             if queue is not None:
                 return queue
@@ -279,11 +281,11 @@
 
 
 def check_spec(spec: JobSpec) -> SpecError | None:
-    """Return the first fault of a job, or ``None``."""
-    return next(_faults(spec), None)
+    """Return the first error of a job, or ``None``."""
+    return next(_errors(spec), None)
 
 
-def _faults(spec: JobSpec) -> Iterator[SpecError]:
+def _errors(spec: JobSpec) -> Iterator[SpecError]:
     if len(spec.payload.encode()) > MAX_PAYLOAD_BYTES:
         yield SpecError("$.payload", f"more than {MAX_PAYLOAD_BYTES} bytes")
     if not spec.steps:
@@ -297,10 +299,10 @@
     if spec.times < 0:
         yield SpecError("$.times", "below 0")
     for number, step in enumerate(spec.steps):
-        yield from _step_faults(number, step)
+        yield from _step_errors(number, step)
 
 
-def _step_faults(number: int, step: StepSpec) -> Iterator[SpecError]:
+def _step_errors(number: int, step: StepSpec) -> Iterator[SpecError]:
     path = f"$.steps[{number}]"
     if step.count < 1:
         yield SpecError(f"{path}.count", "below 1")
