--- a/src/sablemount/jobs/sizes.py
+++ b/src/sablemount/jobs/sizes.py
@@ -73,7 +73,7 @@
     record = Record(PROGRESS_PREFIX + name, encode(progress))
     if record_size(record) <= limit:
         return record
-    done_only = {key: StepProgress(value.done) for key, value in progress.steps.items()}
+    done_only = {key: StepProgress(step.done) for key, step in progress.steps.items()}
     kept = Progress(progress.state, done_only)
     base_size = record_size(Record(PROGRESS_PREFIX + name, encode(kept)))
     free_bytes = (
@@ -108,14 +108,14 @@
     """Add failures, then saved states, as far as there is room."""
     if free_bytes < 0:
         return
-    for key, value in progress.steps.items():
-        for index, runs in value.failures.items():
+    for key, step in progress.steps.items():
+        for index, runs in step.failures.items():
             free_bytes -= _entry_size(index, runs)
             if free_bytes < 0:
                 return
             kept.steps[key].failures[index] = runs
-    for key, value in progress.steps.items():
-        for index, text in value.saved.items():
+    for key, step in progress.steps.items():
+        for index, text in step.saved.items():
             free_bytes -= _entry_size(index, text)
             if free_bytes < 0:
                 return
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -97,12 +97,12 @@
     counted: Shape = Shape()
     """What the run counts against its organisation's cap."""
     settle_clock: float = 0.0
-    """VM clock in ms: if a report with a later clock does not list the run, it will never exist
-    there."""
+    """VM clock in ms: a run that a report with a later clock does not list will never exist there.
+    """
     started_at: float = 0.0
     stop_sent_at: float = NEVER
     listed: bool = False
-    """Whether the VM has listed the run."""
+    """Whether the VM has listed the run in a report."""
     resumed: bool = False
     """Whether the run continues from state that an earlier run saved."""
     left: str = ""
@@ -372,8 +372,8 @@
     deaf: bool = False
     """Whether completions there may go unlisted, so that nothing may be started."""
     unproven: bool = False
-    """Whether that is only suspected, so that a probe may show that the VM lists its completions;
-    see ``proofs.py``."""
+    """Whether that is only suspected, so that a probe may show the VM to list its completions; see
+    ``proofs.py``."""
     proofs: int = 0
     """Number of probes started on the VM."""
     prove_at: float = NEVER
@@ -388,7 +388,7 @@
     acked_end: int = 0
     """Last completion that the store holds, so that it may be acknowledged."""
     told_end: int = 0
-    """Last completion that the VM is known to have been told to forget."""
+    """Last completion whose acknowledgement the VM is known to have received."""
     ordering: int = 0
     """Number of start requests in flight."""
     unanswered_at: float = NEVER
