--- a/tests/jobs/rig.py
+++ b/tests/jobs/rig.py
@@ -1,4 +1,4 @@
-"""A job scheduler with a clock of its own, and short ways to tell it what happens."""
+"""A job scheduler with a controlled clock, and helpers that feed events to it."""
 
 from sablemount.jobs.actions import (
     Action,
@@ -29,7 +29,7 @@
 
 CAPACITY = Shape(16_000, 64_000, 2)
 CORE = Shape(1_000, 1_000)
-WALL = 1.8e12
+WALL_MS = 1.8e12
 
 
 class Clock:
@@ -40,7 +40,7 @@
         return self.time
 
     def wall_ms(self) -> float:
-        return WALL + self.time * 1000.0
+        return WALL_MS + self.time * 1000.0
 
 
 def queue(name: str = "q", priority: int = 0, advice: AdviceTerms | None = None) -> Queue:
@@ -52,7 +52,7 @@
 
 
 class Rig:
-    """VMs answer here at once, and only when the test says so."""
+    """A scheduler with VMs that answer immediately, and only when the test says so."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self.running: dict[str, list[RunReport]] = {}
         self.ends: dict[str, list[EndReport]] = {}
         self.notes_at_once = True
-        """Whether the store takes at once what an order waits for."""
+        """Whether the store immediately takes the records that a start waits for."""
         self.scheduler.configured(self.configuration)
         self.scheduler.load([])
         self.add_vms(vms)
@@ -110,16 +110,16 @@
         if self.notes_at_once and self.scheduler.starts.waiting():
             self.commit()
             actions += self.scheduler.tick()
-        looks = [action.vm for action in actions if isinstance(action, LookAt)]
-        for vm in sorted(set(looks) & set(self.listed)):
+        polled = [action.vm for action in actions if isinstance(action, LookAt)]
+        for vm in sorted(set(polled) & set(self.listed)):
             self.hear(vm)
-        if looks:
+        if polled:
             actions += self.scheduler.tick()
         self.actions += actions
         return actions
 
     def wait(self, seconds: float) -> list[Action]:
-        """Let some seconds go by, hear all VMs then, and run the systems."""
+        """Let time pass, deliver a report of every VM, and run the systems."""
         self.clock.time += seconds
         self.hear_all()
         return self.tick()
@@ -151,21 +151,21 @@
         return [action for action in self.actions if isinstance(action, AskAdvice)]
 
     def run(self, start: StartRun, percent: float = 0.0) -> None:
-        """Let a VM hold a run that it was told to start."""
+        """Let a VM hold a run that it was requested to start."""
         rows = self.running.setdefault(start.vm, [])
         rows[:] = [row for row in rows if row.task != start.task]
         rows.append(RunReport(start.task, start.run, "", percent))
 
     def hold_all(self, percent: float = 0.0) -> None:
-        """Let the VMs hold all that they were told to start, and hear them."""
+        """Let the VMs hold all runs that they were requested to start, and report."""
         for start in self.started():
             self.run(start, percent)
         self.hear_all()
 
     def run_all(self) -> None:
-        """Let the VMs hold all that they were told to start, and none of it be judged by its pace.
+        """Start everything that fits and let the VMs hold it, with health checks switched off.
 
-        Here no task comes further, which is not what is looked at.
+        Runs make no progress here, which the health checks would take for a fault.
         """
         self.scheduler.health.run = lambda: None  # type: ignore[method-assign]
         self.tick()
@@ -180,7 +180,7 @@
         ends.append(EndReport(len(ends) + 1, start.task, start.run, outcome, saved))
 
     def successor(self) -> "Rig":
-        """Return a later leader that has loaded what is in the store."""
+        """Return the rig of a later leader that has loaded the contents of the store."""
         configuration = self.configuration
         other = Rig(
             0,
--- a/tests/jobs/test_batches.py
+++ b/tests/jobs/test_batches.py
@@ -1,4 +1,4 @@
-"""Batches are bounded in their bytes, and what depends on each other stays in its order."""
+"""Batches are bounded in bytes, and records that depend on each other stay in order."""
 
 import asyncio
 
@@ -10,26 +10,26 @@
 from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
 from tests.jobs.rig import CORE, Rig, queue, spec
 
-CALL = 2_097_152
+CALL_BYTES = 2_097_152
 JOBS = 25
 WIDE = JobSpec("payload", (StepSpec(1, CORE, label="x" * 200_000),))
 
 
 def _batches(rig: Rig) -> list[Batch]:
-    found = []
+    batches = []
     while rig.scheduler.journal.pending():
-        found.append(rig.scheduler.next_batch())
-    return found
+        batches.append(rig.scheduler.next_batch())
+    return batches
 
 
-def _kept(batches: list[Batch]) -> dict[str, bytes]:
-    """Return what a store holds after some batches."""
-    kept: dict[str, bytes] = {}
+def _stored(batches: list[Batch]) -> dict[str, bytes]:
+    """Return the contents of a store after some batches."""
+    stored: dict[str, bytes] = {}
     for record in [record for batch in batches for record in batch.records]:
-        kept.pop(record.key, None)
+        stored.pop(record.key, None)
         if record.value:
-            kept[record.key] = record.value
-    return kept
+            stored[record.key] = record.value
+    return stored
 
 
 def test_acceptances_are_bounded_and_the_oldest_go_first() -> None:
@@ -38,7 +38,7 @@
         rig.scheduler.submit(f"job{number}", queue(), WIDE)
     batches = _batches(rig)
     assert len(batches) > 2
-    assert all(call_size(batch.records) <= CALL for batch in batches)
+    assert all(call_size(batch.records) <= CALL_BYTES for batch in batches)
     names = [name for batch in batches for name in batch.accepted]
     assert names == [f"job{number}" for number in range(JOBS)]
 
@@ -48,8 +48,8 @@
     for number in range(JOBS):
         rig.scheduler.submit(f"job{number}", queue(), WIDE)
         rig.scheduler.cancel(f"job{number}")
-    kept = _kept(_batches(rig))
-    assert sorted(kept) == sorted(f"p/job{number}" for number in range(JOBS))
+    stored = _stored(_batches(rig))
+    assert sorted(stored) == sorted(f"p/job{number}" for number in range(JOBS))
 
 
 def test_ends_are_acknowledged_after_all_that_they_changed() -> None:
@@ -73,7 +73,7 @@
 
 def test_what_is_too_large_is_left_out_and_not_taken_for_recorded() -> None:
     rig = Rig()
-    # Not even the scheduler's own check of a job was made here.
+    # The scheduler's own check of the job's size is bypassed here.
     rig.scheduler.submit("large", queue(), JobSpec("payload", (StepSpec(1, label="x" * 300_000),)))
     rig.scheduler.submit("other", queue(), spec(StepSpec(1, CORE)))
     batch = rig.commit()
@@ -88,11 +88,11 @@
         sizes = []
         append = system.store.append
 
-        def noted(topic, records, producer, at):  # type: ignore[no-untyped-def]
+        def append_noting_size(topic, records, producer, at):  # type: ignore[no-untyped-def]
             sizes.append(call_size(records))
             return append(topic, records, producer, at)
 
-        system.store.append = noted  # type: ignore[method-assign]
+        system.store.append = append_noting_size  # type: ignore[method-assign]
         system.start_all()
         await asyncio.sleep(2.0)
 
@@ -102,6 +102,6 @@
 
         replies = await asyncio.gather(*map(hand_in, range(JOBS)))
         assert [reply.outcome for reply in replies] == [Outcome.DONE] * JOBS
-        assert max(sizes) <= CALL
+        assert max(sizes) <= CALL_BYTES
 
     run(scenario())
--- a/tests/jobs/test_capacity.py
+++ b/tests/jobs/test_capacity.py
@@ -1,7 +1,7 @@
-"""A VM's capacity may shrink and grow while it runs, and old words of it come late.
+"""A VM's capacity may shrink and grow while it runs, and outdated descriptions may arrive late.
 
-A list that was some seconds old gave a VM back the room that it had lost since, so that it was
-started over its capacity.
+An entry list that was some seconds old restored capacity that the VM had lost since, so that runs
+were started beyond its capacity.
 """
 
 import json
@@ -18,7 +18,7 @@
 SMALL = Shape(4_000, 64_000, 2)
 
 
-def _told(rig: Rig, capacity: Shape, revision: int, listed: bool = False) -> None:
+def _describe(rig: Rig, capacity: Shape, revision: int, listed: bool = False) -> None:
     info = rig.scheduler.state.vms["w0"].info
     info = msgspec.structs.replace(info, capacity=capacity, revision=revision)
     if listed:
@@ -27,7 +27,7 @@
         rig.scheduler.told(info)
 
 
-def _starts(rig: Rig, name: str, count: int) -> int:
+def _count_starts(rig: Rig, name: str, count: int) -> int:
     before = len(rig.started())
     rig.accept(name, spec(StepSpec(count, CORE)))
     rig.run_all()
@@ -36,55 +36,55 @@
 
 def test_a_vm_that_has_shrunk_takes_what_fits_into_the_rest() -> None:
     rig = Rig(vms=1)
-    _told(rig, SMALL, 2)
-    assert _starts(rig, "a", 20) == 4
+    _describe(rig, SMALL, 2)
+    assert _count_starts(rig, "a", 20) == 4
 
 
 def test_a_vm_that_has_shrunk_below_what_runs_there_takes_nothing_more() -> None:
     rig = Rig(vms=1)
-    assert _starts(rig, "a", 10) == 10
-    _told(rig, SMALL, 2)
-    assert _starts(rig, "b", 1) == 0
+    assert _count_starts(rig, "a", 10) == 10
+    _describe(rig, SMALL, 2)
+    assert _count_starts(rig, "b", 1) == 0
     assert rig.scheduler.state.vms["w0"].room.cores == -6_000
-    _told(rig, CAPACITY, 3)
+    _describe(rig, CAPACITY, 3)
     rig.wait(0.3)
     assert len(rig.started()) == 11
 
 
 def test_what_is_being_stopped_still_takes_room() -> None:
     rig = Rig(vms=1)
-    _starts(rig, "a", 4)
-    _told(rig, SMALL, 2)
+    _count_starts(rig, "a", 4)
+    _describe(rig, SMALL, 2)
     rig.scheduler.cancel("a")
-    assert _starts(rig, "b", 4) == 0
+    assert _count_starts(rig, "b", 4) == 0
 
 
 @pytest.mark.parametrize("listed", [False, True], ids=["told", "listed"])
-def test_an_old_word_gives_no_room_back(listed: bool) -> None:
+def test_an_outdated_description_does_not_restore_capacity(listed: bool) -> None:
     rig = Rig(vms=1)
-    _told(rig, CAPACITY, 7)
-    _told(rig, SMALL, 8)
-    _told(rig, CAPACITY, 7, listed)
-    assert _starts(rig, "a", 20) == 4
+    _describe(rig, CAPACITY, 7)
+    _describe(rig, SMALL, 8)
+    _describe(rig, CAPACITY, 7, listed)
+    assert _count_starts(rig, "a", 20) == 4
 
 
-def test_a_word_that_comes_again_is_taken_for_present() -> None:
+def test_a_repeated_description_lists_the_vm_again() -> None:
     rig = Rig(vms=1)
-    _told(rig, CAPACITY, 7)
+    _describe(rig, CAPACITY, 7)
     rig.scheduler.left_list("w0")
-    _told(rig, CAPACITY, 7)
+    _describe(rig, CAPACITY, 7)
     assert rig.scheduler.state.vms["w0"].listed
 
 
 def test_a_heartbeat_that_changes_nothing_frees_no_room() -> None:
     rig = Rig(vms=1)
-    _told(rig, CAPACITY, 7)
+    _describe(rig, CAPACITY, 7)
     freed = rig.scheduler.state.freed
-    _told(rig, CAPACITY, 8)
+    _describe(rig, CAPACITY, 8)
     assert rig.scheduler.state.freed == freed
 
 
-def test_the_order_of_a_vms_words_is_read_from_its_entry() -> None:
+def test_the_revision_of_a_vm_is_read_from_its_entry() -> None:
     found = PlatformDirectory().vm(Record("i-1", json.dumps(ENTRY).encode()))
     assert found is not None
     assert found.revision == ENTRY["seq"]
