--- a/tests/jobs/test_recovery.py
+++ b/tests/jobs/test_recovery.py
@@ -1,11 +1,11 @@
-"""What a later leader makes of what is recorded and of what the VMs say."""
+"""How a later leader recovers from the stored records and the VMs' reports."""
 
 from sablemount.jobs.model import JobSpec, Shape, StepSpec, VmInfo
 from sablemount.jobs.records import Record
 from sablemount.jobs.tables import JobState
 from tests.jobs.rig import CAPACITY, CORE, Rig, spec
 
-HALF = Shape(8_000, 1_000)
+HALF_A_VM = Shape(8_000, 1_000)
 
 
 def test_a_running_task_is_kept_and_not_started_again() -> None:
@@ -13,35 +13,35 @@
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
     rig.run(rig.started()[0])
-    later = rig.successor()
-    later.hear_all()
-    later.tick()
-    assert later.started() == []
-    assert later.scheduler.state.jobs["job"].state is JobState.RUNNING
+    successor = rig.successor()
+    successor.hear_all()
+    successor.tick()
+    assert successor.started() == []
+    assert successor.scheduler.state.jobs["job"].state is JobState.RUNNING
 
 
-def test_nothing_former_starts_before_every_vm_is_heard_or_its_lease_is_over() -> None:
+def test_recovered_jobs_wait_until_every_vm_reports_or_its_lease_is_over() -> None:
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
-    later = rig.successor()
-    later.hear("w0")
-    later.tick()
-    assert later.started() == []
+    successor = rig.successor()
+    successor.hear("w0")
+    successor.tick()
+    assert successor.started() == []
     for _ in range(9):
-        later.clock.time += 1.0
-        later.hear("w0")
-        later.tick()
-    assert [start.vm for start in later.started()] == ["w0"]
+        successor.clock.time += 1.0
+        successor.hear("w0")
+        successor.tick()
+    assert [start.vm for start in successor.started()] == ["w0"]
 
 
 def test_what_is_accepted_after_a_take_over_need_not_wait() -> None:
     rig = Rig()
     rig.accept("old", spec(StepSpec(1, CORE)))
-    later = rig.successor()
-    later.hear("w0")
-    later.accept("new", spec(StepSpec(1, CORE)))
-    later.tick()
-    assert [start.task for start in later.started()] == ["new.0.0.0"]
+    successor = rig.successor()
+    successor.hear("w0")
+    successor.accept("new", spec(StepSpec(1, CORE)))
+    successor.tick()
+    assert [start.task for start in successor.started()] == ["new.0.0.0"]
 
 
 def test_a_failure_that_is_listed_again_counts_once() -> None:
@@ -51,9 +51,9 @@
     rig.end(rig.started()[0], "failed")
     rig.hear_all()
     rig.commit()
-    later = rig.successor()
-    later.hear_all()
-    task = later.scheduler.state.jobs["job"].steps[(0, 0)].tasks[0]
+    successor = rig.successor()
+    successor.hear_all()
+    task = successor.scheduler.state.jobs["job"].steps[(0, 0)].tasks[0]
     assert len(task.failed_runs) == 1
 
 
@@ -61,13 +61,13 @@
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
-    later = rig.successor()
-    later.hear_all()
-    later.tick()
-    assert later.started()[0].run > rig.started()[0].run
+    successor = rig.successor()
+    successor.hear_all()
+    successor.tick()
+    assert successor.started()[0].run > rig.started()[0].run
 
 
-def test_a_noted_end_is_kept_and_acknowledged_only_then() -> None:
+def test_a_completion_is_acknowledged_only_once_it_is_recorded() -> None:
     rig = Rig()
     rig.accept("job", spec(StepSpec(2, CORE)))
     rig.tick()
@@ -77,14 +77,14 @@
     assert row.acked_end == 0
     rig.commit()
     assert row.acked_end == 1
-    later = rig.successor()
-    later.ends = {}
-    later.hear_all()
-    later.tick()
-    assert [start.task for start in later.started()] == [rig.started()[1].task]
+    successor = rig.successor()
+    successor.ends = {}
+    successor.hear_all()
+    successor.tick()
+    assert [start.task for start in successor.started()] == [rig.started()[1].task]
 
 
-def test_the_end_of_a_job_is_told_after_its_records_are_gone() -> None:
+def test_the_end_of_a_job_is_known_after_its_record_is_dropped() -> None:
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
@@ -92,8 +92,8 @@
     rig.hear_all()
     rig.commit()
     assert "j/job" not in rig.store
-    later = rig.successor()
-    assert later.scheduler.state.jobs["job"].shown is JobState.SUCCEEDED
+    successor = rig.successor()
+    assert successor.scheduler.state.jobs["job"].shown is JobState.SUCCEEDED
 
 
 def test_an_ended_job_is_forgotten_in_time() -> None:
@@ -111,30 +111,30 @@
 
 def test_a_run_of_a_cancelled_job_is_stopped_by_a_later_leader() -> None:
     rig = Rig()
-    rig.accept("job", spec(StepSpec(1, HALF)))
+    rig.accept("job", spec(StepSpec(1, HALF_A_VM)))
     rig.tick()
     rig.run(rig.started()[0])
     rig.scheduler.cancel("job")
     rig.commit()
-    later = rig.successor()
-    later.hear_all()
-    later.tick(0.1)
-    assert [stop.task for stop in later.stopped()] == ["job.0.0.0"]
+    successor = rig.successor()
+    successor.hear_all()
+    successor.tick(0.1)
+    assert [stop.task for stop in successor.stopped()] == ["job.0.0.0"]
 
 
 def test_a_vm_that_has_left_does_not_hold_up_a_later_leader() -> None:
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
-    later = rig.successor()
-    later.scheduler.vms.left_list("w1")
-    later.hear("w0")
-    gone = later.scheduler.state.vms["w1"]
+    successor = rig.successor()
+    successor.scheduler.vms.left_list("w1")
+    successor.hear("w0")
+    gone = successor.scheduler.state.vms["w1"]
     for _ in range(4):
-        later.clock.time += 0.5
-        later.hear("w0")
-        later.scheduler.vms.refused(gone)
-        later.tick()
-    assert [start.vm for start in later.started()] == ["w0"]
+        successor.clock.time += 0.5
+        successor.hear("w0")
+        successor.scheduler.vms.refused(gone)
+        successor.tick()
+    assert [start.vm for start in successor.started()] == ["w0"]
 
 
 def test_a_silent_vms_tasks_start_again_only_after_its_lease() -> None:
@@ -159,7 +159,7 @@
     assert [start.vm for start in rig.started()] == [first.vm, other]
 
 
-def test_another_life_ends_what_ran_in_the_former_one() -> None:
+def test_a_new_incarnation_ends_the_runs_of_the_previous_one() -> None:
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
@@ -176,10 +176,10 @@
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.store["j/broken"] = b"\xc1"
-    later = rig.successor()
-    later.hear_all()
-    later.tick()
-    assert [start.task for start in later.started()] == ["job.0.0.0"]
+    successor = rig.successor()
+    successor.hear_all()
+    successor.tick()
+    assert [start.task for start in successor.started()] == ["job.0.0.0"]
 
 
 def test_repetitions_start_when_they_are_due_also_under_a_later_leader() -> None:
@@ -193,14 +193,14 @@
     rig.end(rig.started()[0], "done")
     rig.hear_all()
     rig.commit()
-    later = rig.successor()
-    later.wait(1.0)
-    assert [start.task for start in later.started()] == ["job.1.0.0", "job.2.0.0"]
-    for start in later.started():
-        later.end(start, "done")
-    later.clock.time += 0.1
-    later.hear_all()
-    assert later.scheduler.state.jobs["job"].state is JobState.SUCCEEDED
+    successor = rig.successor()
+    successor.wait(1.0)
+    assert [start.task for start in successor.started()] == ["job.1.0.0", "job.2.0.0"]
+    for start in successor.started():
+        successor.end(start, "done")
+    successor.clock.time += 0.1
+    successor.hear_all()
+    assert successor.scheduler.state.jobs["job"].state is JobState.SUCCEEDED
 
 
 def test_a_vm_that_ran_nothing_any_more_does_not_hold_up_a_later_leader() -> None:
@@ -211,13 +211,13 @@
         rig.tick()
     rig.accept("job", spec(StepSpec(1, CORE)))
     assert "w/w1" not in rig.store
-    later = rig.successor()
-    later.hear("w0")
-    later.tick()
-    assert [start.vm for start in later.started()] == ["w0"]
+    successor = rig.successor()
+    successor.hear("w0")
+    successor.tick()
+    assert [start.vm for start in successor.started()] == ["w0"]
 
 
-def test_a_vm_gets_nothing_before_the_store_tells_that_it_is_in_use() -> None:
+def test_a_vm_gets_no_work_before_its_use_is_recorded() -> None:
     rig = Rig(vms=0)
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.add_vms(1)
@@ -256,30 +256,30 @@
         rig.tick()
     rig.accept("job", spec(StepSpec(1, CORE)))
     assert "w/w1" not in rig.store
-    later = rig.successor()
-    later.hear("w0")
-    later.tick()
-    assert [start.vm for start in later.started()] == ["w0"]
+    successor = rig.successor()
+    successor.hear("w0")
+    successor.tick()
+    assert [start.vm for start in successor.started()] == ["w0"]
 
 
-def _gang_of_a_former_leader(started: int) -> Rig:
-    """Return a later leader's rig; only some of a gang's four members were started before."""
+def _gang_of_a_previous_leader(started: int) -> Rig:
+    """Return the rig of a later leader after only some of a gang's four members were started."""
     first = Rig(vms=4)
     first.accept("gang", spec(StepSpec(4, CORE, expected_ms=9000.0, gang=True)))
     first.tick()
     for start in first.started()[:started]:
         first.run(start)
     first.hear_all()
-    later = first.successor()
-    later.hear_all()
+    successor = first.successor()
+    successor.hear_all()
     for _ in range(3):
-        later.tick(0.6)
-        later.hear_all()
-    return later
+        successor.tick(0.6)
+        successor.hear_all()
+    return successor
 
 
-def test_a_part_of_a_gang_that_a_former_leader_started_is_stopped_and_started_whole() -> None:
-    rig = _gang_of_a_former_leader(2)
+def test_a_partly_started_gang_is_stopped_and_started_again_as_a_whole() -> None:
+    rig = _gang_of_a_previous_leader(2)
     assert len(rig.stopped()) == 2
     for stop in list(rig.stopped()):
         rows = rig.running[stop.vm]
@@ -291,28 +291,28 @@
 
 
 def test_a_whole_gang_that_a_former_leader_started_is_left_alone() -> None:
-    rig = _gang_of_a_former_leader(4)
+    rig = _gang_of_a_previous_leader(4)
     assert rig.stopped() == []
 
 
 def test_a_run_of_a_forgotten_job_takes_all_of_a_vm_whose_entry_comes_later() -> None:
     first = Rig(vms=1)
-    first.accept("gone", spec(StepSpec(1, HALF)))
+    first.accept("gone", spec(StepSpec(1, HALF_A_VM)))
     first.tick()
     first.run(first.started()[0])
     first.scheduler.cancel("gone")
     first.commit()
-    later = Rig(0, 2)
-    later.running = first.running
-    later.scheduler.load([Record(key, value) for key, value in first.store.items()])
-    later.hear("w0")
-    later.scheduler.told(first.scheduler.state.vms["w0"].info)
-    later.accept("new", spec(StepSpec(2, HALF)))
-    later.tick()
-    assert later.started() == []
-    later.running["w0"] = []
-    later.clock.time += 1.0
-    later.hear("w0")
-    later.tick()
-    assert len(later.started()) == 2
-    assert later.scheduler.state.vms["w0"].room == Shape(0, 62_000, 2)
+    successor = Rig(0, 2)
+    successor.running = first.running
+    successor.scheduler.load([Record(key, value) for key, value in first.store.items()])
+    successor.hear("w0")
+    successor.scheduler.told(first.scheduler.state.vms["w0"].info)
+    successor.accept("new", spec(StepSpec(2, HALF_A_VM)))
+    successor.tick()
+    assert successor.started() == []
+    successor.running["w0"] = []
+    successor.clock.time += 1.0
+    successor.hear("w0")
+    successor.tick()
+    assert len(successor.started()) == 2
+    assert successor.scheduler.state.vms["w0"].room == Shape(0, 62_000, 2)
--- a/tests/jobs/test_scheduling.py
+++ b/tests/jobs/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Placement, gangs, advice and ends, one scheduler at a time."""
+"""Placement, gangs, advice and completions, with a single scheduler."""
 
 from sablemount.jobs.actions import StartRun
 from sablemount.jobs.model import AdviceTerms, Shape, StepSpec
@@ -6,7 +6,7 @@
 from sablemount.jobs.tables import JobState
 from tests.jobs.rig import CORE, Rig, queue, spec
 
-HALF = Shape(8_000, 1_000)
+HALF_A_VM = Shape(8_000, 1_000)
 
 
 def test_nothing_starts_before_the_acceptance_is_in_the_store() -> None:
@@ -19,18 +19,18 @@
 
 def test_no_vm_is_given_more_than_it_has() -> None:
     rig = Rig(vms=1)
-    rig.accept("job", spec(StepSpec(5, HALF)))
+    rig.accept("job", spec(StepSpec(5, HALF_A_VM)))
     rig.tick()
     assert len(rig.started()) == 2
 
 
 def test_a_stopping_run_still_takes_its_room() -> None:
     rig = Rig(vms=1)
-    rig.accept("first", spec(StepSpec(2, HALF)))
+    rig.accept("first", spec(StepSpec(2, HALF_A_VM)))
     rig.tick()
     rig.hold_all()
     rig.scheduler.cancel("first")
-    rig.accept("second", spec(StepSpec(2, HALF)))
+    rig.accept("second", spec(StepSpec(2, HALF_A_VM)))
     rig.tick()
     assert len(rig.stopped()) == 2
     assert len(rig.started()) == 2
@@ -42,9 +42,9 @@
 
 def test_a_gang_is_placed_whole_or_not_at_all() -> None:
     rig = Rig(vms=2)
-    rig.accept("other", spec(StepSpec(1, HALF)))
+    rig.accept("other", spec(StepSpec(1, HALF_A_VM)))
     rig.tick()
-    rig.accept("gang", spec(StepSpec(4, HALF, gang=True)))
+    rig.accept("gang", spec(StepSpec(4, HALF_A_VM, gang=True)))
     rig.tick()
     assert [start.task for start in rig.started()] == ["other.0.0.0"]
     rig.run(rig.started()[0])
@@ -56,9 +56,9 @@
     assert len({start.run for start in gang}) == 1
 
 
-def test_one_done_end_stands_for_the_whole_gang() -> None:
+def test_one_members_completion_completes_the_gang() -> None:
     rig = Rig(vms=2)
-    job = rig.accept("gang", spec(StepSpec(4, HALF, gang=True)))
+    job = rig.accept("gang", spec(StepSpec(4, HALF_A_VM, gang=True)))
     rig.tick()
     rig.hold_all()
     rig.end(rig.started()[0], "done")
@@ -96,15 +96,15 @@
 
 def test_one_rack_is_used_where_all_fit_there() -> None:
     rig = Rig(vms=4)
-    rig.accept("job", spec(StepSpec(4, HALF, gang=True, same_rack=True)))
+    rig.accept("job", spec(StepSpec(4, HALF_A_VM, gang=True, same_rack=True)))
     rig.tick()
     assert {start.vm for start in rig.started()} == {"w0", "w1"}
 
 
 def test_more_urgent_work_goes_first() -> None:
     rig = Rig(vms=1, queues=(queue("slow", 2), queue("fast", 0)))
-    rig.scheduler.submit("batch", queue("slow", 2), spec(StepSpec(2, HALF)))
-    rig.scheduler.submit("quote", queue("fast", 0), spec(StepSpec(1, HALF)))
+    rig.scheduler.submit("batch", queue("slow", 2), spec(StepSpec(2, HALF_A_VM)))
+    rig.scheduler.submit("quote", queue("fast", 0), spec(StepSpec(1, HALF_A_VM)))
     rig.commit()
     rig.tick()
     assert [start.task for start in rig.started()] == ["quote.0.0.0", "batch.0.0.0"]
@@ -132,7 +132,7 @@
     assert len({start.vm for start in rig.started()}) > 1
 
 
-def test_a_start_without_an_answer_is_settled_by_the_vms_word() -> None:
+def test_a_start_without_an_answer_is_settled_by_the_vms_report() -> None:
     rig = Rig(vms=1)
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
@@ -156,7 +156,7 @@
     asking = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
     rig = Rig(vms=3, queues=(asking,))
     rig.scheduler.advice.set_lanes({"one", "two"})
-    rig.scheduler.submit("job", asking, spec(StepSpec(2, HALF)))
+    rig.scheduler.submit("job", asking, spec(StepSpec(2, HALF_A_VM)))
     rig.tick()
     (ask,) = rig.asked()
     assert sorted(ask.vms) == ["w0", "w1", "w2"]
@@ -170,7 +170,7 @@
     asking = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
     rig = Rig(vms=3, queues=(asking,))
     rig.scheduler.advice.set_lanes({"one"})
-    rig.scheduler.submit("job", asking, spec(StepSpec(1, HALF)))
+    rig.scheduler.submit("job", asking, spec(StepSpec(1, HALF_A_VM)))
     rig.tick()
     ask = rig.asked()[0]
     rig.scheduler.advice.answered(ask.lane, ask.step, ask.vms, {"w1": "t"}, 2000.0)
@@ -183,7 +183,7 @@
     assert rig.scheduler.state.vms["w1"].room.cores == 8_000
 
 
-def test_slow_calls_leave_lanes_to_quick_ones() -> None:
+def test_slow_calls_leave_call_slots_to_quick_ones() -> None:
     slow = queue("slow", 0, AdviceTerms(800.0, 5.0, 2000.0))
     quick = queue("quick", 5, AdviceTerms(9.0, 0.1, 2000.0))
     rig = Rig(vms=2, queues=(slow, quick))
@@ -197,7 +197,7 @@
     assert rig.asked()[-1].step.startswith("quick")
 
 
-def test_a_lane_that_goes_lets_its_step_ask_again() -> None:
+def test_a_step_asks_again_when_its_call_slot_is_removed() -> None:
     asking = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
     rig = Rig(vms=1, queues=(asking,))
     rig.scheduler.advice.set_lanes({"one", "two"})
@@ -213,7 +213,7 @@
 
 def test_a_member_of_a_gang_is_not_started_while_another_still_runs() -> None:
     rig = Rig(vms=3)
-    rig.accept("gang", spec(StepSpec(2, HALF, gang=True, spread=1)))
+    rig.accept("gang", spec(StepSpec(2, HALF_A_VM, gang=True, spread=1)))
     rig.tick()
     first, second = rig.started()
     rig.run(first)
@@ -232,7 +232,7 @@
 
 def test_the_rest_of_a_gang_is_stopped_when_a_member_could_not_start() -> None:
     rig = Rig(vms=2)
-    rig.accept("gang", spec(StepSpec(2, HALF, gang=True, spread=1)))
+    rig.accept("gang", spec(StepSpec(2, HALF_A_VM, gang=True, spread=1)))
     rig.tick()
     first, second = rig.started()
     rig.run(first)
@@ -246,20 +246,20 @@
     asking = queue("q", 0, AdviceTerms(700.0, 5.0, 2000.0))
     rig = Rig(vms=2, queues=(asking, queue("other")))
     rig.scheduler.advice.set_lanes({"one"})
-    rig.scheduler.submit("job", asking, spec(StepSpec(1, HALF)))
+    rig.scheduler.submit("job", asking, spec(StepSpec(1, HALF_A_VM)))
     rig.tick()
     ask = rig.asked()[0]
     tickets = dict.fromkeys(ask.vms, "t")
     rig.scheduler.advice.answered(ask.lane, ask.step, ask.vms, tickets, 2000.0)
     rig.clock.time += 3.0
     rig.hear_all()
-    # Only one of them has a new ticket, and the other one is the fuller.
+    # Only w1 has a new ticket, although w0 is fuller.
     rig.scheduler.advice.answered("one", ask.step, ("w1",), {"w1": "t"}, 2000.0)
     advice = rig.scheduler.state.jobs["job"].steps[(0, 0)].advice
     assert advice is not None
     advice.good["w1"].until = rig.clock.time + 2.0
     row = rig.scheduler.state.vms["w0"]
-    row.room = row.room.plus(HALF, -1)
+    row.room = row.room.plus(HALF_A_VM, -1)
     rig.commit()
     rig.tick()
     assert [start.vm for start in rig.started()] == ["w1"]
