--- a/tests/jobs/test_record_sizes.py
+++ b/tests/jobs/test_record_sizes.py
@@ -1,8 +1,8 @@
-"""What is taken in fits into the store's records and calls.
+"""Everything that is accepted fits into the store's records and calls.
 
-The store refuses a record, or a call, that is larger than it takes, whenever it is sent. A batch
-that holds one is sent again without end, and nothing after it is noted any more: all acceptances
-and ends wait for it, under each later leader anew if the VMs list what made it so large.
+The store refuses a record or a call above its limits each time it is sent. A batch with such a
+record is repeated forever and blocks all later acceptances and completions, under each later leader
+again if the VMs list what made the record too large.
 """
 
 import asyncio
@@ -26,51 +26,51 @@
     return 1 + len(record.key) + len(record.value)
 
 
-def test_a_job_that_is_taken_fits_into_a_record() -> None:
-    # As large as a caller's request may be, in a single label.
+def test_an_accepted_job_fits_into_a_record() -> None:
+    # The size of the largest request, in a single label.
     job = JobSpec("payload", (StepSpec(1, CORE, label="x" * 262_000),))
     value = encode(JobRecord(queue().terms, job, 1.8e12, 1))
     assert check_spec(job) is not None or _size(Record("j/job", value)) <= RECORD_BYTES
 
 
 @pytest.mark.parametrize(("jobs", "tasks"), [(1, 20_000), (1_000, 200)])
-def test_what_is_noted_of_jobs_fits_into_records_and_calls(jobs: int, tasks: int) -> None:
+def test_progress_fits_into_records_and_calls(jobs: int, tasks: int) -> None:
     rig = Rig(vms=1)
     state = rig.scheduler.state
     for number in range(jobs):
         row = rig.accept(f"job{number}", spec(StepSpec(tasks, CORE, saves=True)))
         for task in row.steps[(0, 0)].tasks:
             task.saved = SAVED
-    # The store was away for a while, and something ended of each job meanwhile.
+    # The store did not answer for a while, and a task of each job has completed since.
     for row in state.jobs.values():
         state.mark(row)
-    noted = 0
+    record_count = 0
     while rig.scheduler.journal.pending():
         records = rig.scheduler.next_batch().records
-        noted += len(records)
+        record_count += len(records)
         assert max(map(_size, records)) <= RECORD_BYTES
         assert sum(4 + _size(record) for record in records) <= CALL_BYTES
-    assert noted >= jobs
+    assert record_count >= jobs
 
 
-def _bound_records(system: System) -> None:
-    """Have the store refuse each append that holds a record larger than it takes."""
+def _refuse_large_records(system: System) -> None:
+    """Have the store refuse each append that holds a record above its limit."""
     append = system.store.append
 
-    def bounded(
+    def append_bounded(
         topic: Topic, records: list[Record], producer: Producer | None, at: int | None
     ) -> AppendResult:
         if any(_size(record) > RECORD_BYTES for record in records):
             return Unavailable("status 400", certain=True)
         return append(topic, records, producer, at)
 
-    system.store.append = bounded  # type: ignore[method-assign]
+    system.store.append = append_bounded  # type: ignore[method-assign]
 
 
 def test_a_job_that_is_too_large_keeps_no_other_from_being_accepted() -> None:
     async def scenario() -> None:
         system = System(7)
-        _bound_records(system)
+        _refuse_large_records(system)
         system.start_all()
         await asyncio.sleep(2.0)
         large = JobSpec("payload", (StepSpec(1, CORE, label="x" * 300_000),))
--- a/tests/jobs/test_sizes.py
+++ b/tests/jobs/test_sizes.py
@@ -13,13 +13,13 @@
 from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
 from tests.jobs.rig import CORE, Rig, queue, spec
 
-LIMIT = 262_144
+RECORD_BYTES = 262_144
 TASKS = 20_000
 RUNS = (4_000_070_001, 4_000_070_002)
 
 
 def _progress(rig: Rig, job: JobSpec) -> Progress:
-    """Return how far a job is of which most that can be is noted."""
+    """Return the progress of a job with as many failures and saved states as possible."""
     row = rig.accept("job", job)
     for step in row.steps.values():
         for task in step.tasks:
@@ -34,33 +34,33 @@
     assert record_size(records[0]) == len(encode_records(records[:1])) - 4
 
 
-def test_of_what_fits_nothing_is_left_out() -> None:
+def test_progress_that_fits_is_recorded_completely() -> None:
     progress = _progress(Rig(), spec(StepSpec(200, CORE, saves=True), StepSpec(300, CORE)))
-    record = progress_record("job", progress, LIMIT)
+    record = progress_record("job", progress, RECORD_BYTES)
     assert decode_progress(record.value) == progress
 
 
 @pytest.mark.parametrize("steps", [1, 100, 1_000])
-def test_what_is_done_is_recorded_however_much_failed(steps: int) -> None:
+def test_done_tasks_are_recorded_however_many_have_failed(steps: int) -> None:
     rig = Rig()
     job = spec(*[StepSpec(TASKS // steps, CORE, saves=True)] * steps)
     progress = _progress(rig, job)
-    for noted in progress.steps.values():
-        noted.done = f"{(1 << TASKS // steps) - 2:x}"
-    record = progress_record("job", progress, LIMIT)
+    for recorded in progress.steps.values():
+        recorded.done = f"{(1 << TASKS // steps) - 2:x}"
+    record = progress_record("job", progress, RECORD_BYTES)
     kept = decode_progress(record.value)
-    assert LIMIT * 0.9 < record_size(record) <= LIMIT
-    assert {key: noted.done for key, noted in kept.steps.items()} == {
-        key: noted.done for key, noted in progress.steps.items()
+    assert RECORD_BYTES * 0.9 < record_size(record) <= RECORD_BYTES
+    assert {key: recorded.done for key, recorded in kept.steps.items()} == {
+        key: recorded.done for key, recorded in progress.steps.items()
     }
-    for key, noted in kept.steps.items():
-        assert noted.failures.items() <= progress.steps[key].failures.items()
-        assert noted.saved.items() <= progress.steps[key].saved.items()
+    for key, recorded in kept.steps.items():
+        assert recorded.failures.items() <= progress.steps[key].failures.items()
+        assert recorded.saved.items() <= progress.steps[key].saved.items()
 
 
 @pytest.mark.parametrize("steps", [1, 7, 300])
 @pytest.mark.parametrize("times", [1, 9, 40])
-def test_the_bound_of_what_is_done_holds(steps: int, times: int) -> None:
+def test_the_bound_on_the_size_of_done_tasks_holds(steps: int, times: int) -> None:
     job = JobSpec("payload", (StepSpec(60, CORE),) * steps, times, 1.0, 1.0)
     rig = Rig()
     row = rig.accept("job", job)
@@ -68,23 +68,23 @@
     for step in row.steps.values():
         for task in step.tasks[:-1]:
             rig.scheduler.lifecycle.task_done(task)
-    record = progress_record("job", rig.scheduler.lifecycle.progress(row), 10 * LIMIT)
+    record = progress_record("job", rig.scheduler.lifecycle.progress(row), 10 * RECORD_BYTES)
     size = record_size(record)
     assert record_fault("job", row.record, size - 1) is not None
     assert record_fault("job", row.record, int(size * 1.6) + 1_000) is None
 
 
-def test_a_job_whose_times_do_not_fit_is_refused_by_them() -> None:
+def test_too_many_repetitions_are_refused_by_their_field() -> None:
     job = JobSpec("payload", (StepSpec(1, CORE),), 2**62, 1.0, 1.0)
-    fault = record_fault("job", JobRecord(queue().terms, job, 1.0, 1), LIMIT)
+    fault = record_fault("job", JobRecord(queue().terms, job, 1.0, 1), RECORD_BYTES)
     assert fault is not None and fault.path == "$.times"
 
 
-def test_terms_count_as_well() -> None:
+def test_queue_terms_count_towards_the_size_of_a_record() -> None:
     job = spec(StepSpec(1, CORE, label="x" * 249_000))
-    assert record_fault("job", JobRecord(queue().terms, job, 1.0, 1), LIMIT) is None
+    assert record_fault("job", JobRecord(queue().terms, job, 1.0, 1), RECORD_BYTES) is None
     terms = QueueTerms("x" * 14_000, "pool")
-    fault = record_fault("job", JobRecord(terms, job, 1.0, 1), LIMIT)
+    fault = record_fault("job", JobRecord(terms, job, 1.0, 1), RECORD_BYTES)
     assert fault is not None and fault.path == "$.steps"
 
 
--- a/tests/jobs/test_use_records.py
+++ b/tests/jobs/test_use_records.py
@@ -1,22 +1,22 @@
-"""A VM is given work only while the store says that it may run something.
+"""A VM is given work only while its use is recorded in the store.
 
-A VM's record of use was on its way when the VM fell silent, so that the record was dropped again,
-and when it was heard once more, so that a new one was about to be written. The answer to the first
-one says nothing of the third: a leader that takes over before that finds no record, waits for no
-such VM, and may start elsewhere what still runs there.
+A use record is in flight when its VM falls silent, so that the record is dropped; the VM then
+reports again, so that a new record is queued. The answer to the first append says nothing about the
+third record: a leader that takes over before it is stored finds no record, does not wait for the
+VM, and may start elsewhere what still runs there.
 """
 
 from sablemount.jobs.journal import Batch
 from tests.jobs.rig import Rig
 
 
-def _kept(batches: list[Batch], key: str) -> bool:
-    kept = False
+def _is_stored(batches: list[Batch], key: str) -> bool:
+    stored = False
     for batch in batches:
         for record in batch.records:
             if record.key == key:
-                kept = bool(record.value)
-    return kept
+                stored = bool(record.value)
+    return stored
 
 
 def test_an_earlier_record_of_use_does_not_stand_for_a_later_one() -> None:
@@ -31,10 +31,10 @@
     second = scheduler.next_batch()
     scheduler.journal.use(row)
     scheduler.durable(first)
-    assert not row.in_use or _kept([first, second], "w/w0")
+    assert not row.in_use or _is_stored([first, second], "w/w0")
     scheduler.durable(second)
     assert not row.in_use
     third = scheduler.next_batch()
     scheduler.durable(third)
     assert row.in_use
-    assert _kept([first, second, third], "w/w0")
+    assert _is_stored([first, second, third], "w/w0")
