--- a/tests/jobs/test_store_mixes.py
+++ b/tests/jobs/test_store_mixes.py
@@ -1,8 +1,8 @@
 """Seeded mixes of faults on the way to the store and at changes of leader.
 
-``FIRST_BATCH_LOST`` broke promises with leaders that sent a second batch before the first was in
-the store. In each of these mixes the store took the second one as the epoch's beginning, so that it
-never took the first, which counted as done; callers had 410 for jobs that were accepted.
+In the mixes of ``FIRST_BATCH_LOST`` leaders sent a second batch before the first one was in the
+store. The store took the second one as the start of the epoch and so never took the first, which
+counted as done; callers got 410 for accepted jobs.
 """
 
 import random
@@ -16,13 +16,14 @@
 
 FIRST_BATCH_LOST = (26, 198, 208, 220, 406, 918)
 OF_ALL_KINDS = (31, 73)
-"""Mixes of other kinds of faults that broke the same promise, though nobody noticed it later."""
-ORDER_TO_A_FORMER_LIFE = 1621
-"""A start is tried for the third time just after its VM is known to have ended, and refused."""
+"""Mixes of other kinds of faults with the same loss, although nothing noticed it later."""
+START_AT_AN_EARLIER_INCARNATION = 1621
+"""A start is requested for the third time just after its VM's incarnation is known to have ended,
+and is refused."""
 FAILS_BY_CHANCE = 5391
-"""A task fails by chance on three VMs, as often as it may, and its job is shown as failed."""
+"""A task fails by chance on three VMs, its limit, and its job is shown as failed."""
 CAP_UNKNOWN = 51736
-"""A leader that had read no configuration yet started more than its organisations' caps let it."""
+"""A leader that had not read the configuration yet exceeded the caps of its organisations."""
 PARTS = 3
 
 
@@ -31,7 +32,9 @@
     assert run(play_store(part, STORE_FAULTS[part::PARTS])) == []
 
 
-@pytest.mark.parametrize("seed", (*FIRST_BATCH_LOST, ORDER_TO_A_FORMER_LIFE, FAILS_BY_CHANCE))
+@pytest.mark.parametrize(
+    "seed", (*FIRST_BATCH_LOST, START_AT_AN_EARLIER_INCARNATION, FAILS_BY_CHANCE)
+)
 def test_mixes_about_the_store(seed: int) -> None:
     assert run(play_store(seed, draw(seed), advice=seed % 3 == 0)) == []
 
--- a/tests/jobs/test_vm_mixes.py
+++ b/tests/jobs/test_vm_mixes.py
@@ -1,9 +1,10 @@
-"""Seeded mixes of what befalls VMs and members beside changes of leader.
+"""Seeded fault mixes that affect VMs and members, combined with changes of leader.
 
-Tasks that crash VMs, capacity that shrinks, suspended members, another writer's entries.
-``CRASHES_LOST`` started a task three times more after three VMs had crashed under it, with counts
-that were recorded with its job alone: leaders ended before they knew of the crash.
-``TRIED_BESIDE_ANOTHER`` had a job given up whose task only ran beside one that crashes VMs late.
+Tasks that crash VMs, capacity that shrinks, suspended members, entries of another writer. In the
+mixes of ``CRASHES_LOST`` a task was started three more times after three VMs had crashed under it:
+crash counts were recorded with the job alone, and leaders ended before they knew of the crash. In
+those of ``ISOLATED_BESIDE_ANOTHER`` a job was failed permanently although its task only ran beside
+one that crashes VMs late.
 """
 
 import pytest
@@ -37,12 +38,12 @@
         kinds.stop_member,
     ],
 }
-MANY_CRASHERS = (6075, 6126)
-"""So many tasks crash VMs at a time that each crash lies beside others."""
-BESIDE_CRASHERS = (8067,)
-LATE_CRASHER_BESIDE = 1092
-"""A task that crashes VMs after 2 s ran beside one on trial, twice, and did not count."""
-TRIED_BESIDE_ANOTHER: dict[int, list[Fault]] = {
+MANY_CRASHING_TASKS = (6075, 6126)
+"""So many tasks crash VMs at a time that every crash coincides with others."""
+BESIDE_CRASHING_TASKS = (8067,)
+LATE_CRASH_BESIDE_ISOLATED = 1092
+"""A task that crashes VMs after 2 s ran twice beside an isolated task, and was not counted."""
+ISOLATED_BESIDE_ANOTHER: dict[int, list[Fault]] = {
     30: [
         tasks_crash_beside_leaders_killed,
         kinds.store_turns_away,
@@ -62,9 +63,9 @@
 }
 
 
-def _played(seed: int, chosen: list[Fault]) -> list[str]:
-    played = play if seed % 3 else play_organisations
-    return run(played(seed, chosen, advice=seed % 2 == 0))
+def _play(seed: int, chosen: list[Fault]) -> list[str]:
+    play_mix = play if seed % 3 else play_organisations
+    return run(play_mix(seed, chosen, advice=seed % 2 == 0))
 
 
 @pytest.mark.parametrize("fault", VM_FAULTS, ids=lambda fault: fault.__name__)
@@ -72,29 +73,29 @@
     assert run(play(3, [fault, fault], advice=True)) == []
 
 
-@pytest.mark.parametrize("seed", (*SEEDS, *MANY_CRASHERS, LATE_CRASHER_BESIDE))
+@pytest.mark.parametrize("seed", (*SEEDS, *MANY_CRASHING_TASKS, LATE_CRASH_BESIDE_ISOLATED))
 def test_mixes(seed: int) -> None:
-    assert _played(seed, draw(seed)) == []
+    assert _play(seed, draw(seed)) == []
 
 
-@pytest.mark.parametrize(("seed", "chosen"), {**CRASHES_LOST, **TRIED_BESIDE_ANOTHER}.items())
+@pytest.mark.parametrize(("seed", "chosen"), {**CRASHES_LOST, **ISOLATED_BESIDE_ANOTHER}.items())
 def test_mixes_that_showed_a_fault(seed: int, chosen: list[Fault]) -> None:
-    assert _played(seed, chosen) == []
+    assert _play(seed, chosen) == []
 
 
 @pytest.mark.parametrize("seed", STARTED_AFTER_THE_CRASH)
 def test_a_start_that_came_after_the_crash_counts_for_nothing(seed: int) -> None:
-    """Three VMs have crashed beside a task; a fourth is silent for 0.44 s as it is started there.
+    """Three VMs have crashed under a task; a fourth is silent for 0.44 s as it is started there.
 
-    The VM had crashed before, under another's task. To the leader it looks as if this one had
-    crashed it: 10 ms after a start, its answer is lost in the same way.
+    That VM had crashed before, under another task. The leader can't tell the difference: 10 ms
+    after a start, its answer is lost in the same way.
     """
-    assert _played(seed, STARTED_AFTER_THE_CRASH[seed]) == []
+    assert _play(seed, STARTED_AFTER_THE_CRASH[seed]) == []
 
 
-@pytest.mark.parametrize("seed", BESIDE_CRASHERS)
+@pytest.mark.parametrize("seed", BESIDE_CRASHING_TASKS)
 def test_a_job_beside_many_tasks_that_crash_vms_is_served(seed: int) -> None:
-    """With six VMs it was on four of those that crashed, never alone, and is given up."""
+    """Of six VMs it ran on four that crashed, never alone, and was failed permanently."""
     drawn = draw(seed)
-    played = play if seed % 3 else play_organisations
-    assert run(played(seed, drawn, advice=seed % 2 == 0)) == []
+    play_mix = play if seed % 3 else play_organisations
+    assert run(play_mix(seed, drawn, advice=seed % 2 == 0)) == []
