--- a/tests/jobs/test_emulated.py
+++ b/tests/jobs/test_emulated.py
@@ -1,4 +1,4 @@
-"""The whole system in virtual time: a calm run, each fault twice, and seeded mixes of faults."""
+"""The whole system in virtual time: a run without faults, each fault twice, and seeded mixes."""
 
 import asyncio
 
--- a/tests/jobs/test_emulated_advice.py
+++ b/tests/jobs/test_emulated_advice.py
@@ -1,4 +1,4 @@
-"""Emulated advice: few VMs may run a step, tickets end, and calls wait for their turn."""
+"""Emulated advice: few VMs may run a step, tickets expire, and calls queue up."""
 
 import asyncio
 
@@ -37,7 +37,7 @@
         calls = [advice.advise(STEP, VMS, 5.0) for _ in range(45)]
         began = asyncio.get_running_loop().time()
         replies = await asyncio.gather(*calls)
-        # One is at work beside those that wait.
+        # One call is processed besides those that wait.
         assert sum(reply.ok for reply in replies) == WAITING + 1
         assert asyncio.get_running_loop().time() - began > 0.005 * WAITING
         assert AdviceReply(False) in replies
--- a/tests/jobs/test_emulated_cell.py
+++ b/tests/jobs/test_emulated_cell.py
@@ -1,8 +1,8 @@
-"""The emulated cell: an error in it fails the run, and a job that comes again is the same job.
+"""The emulated cell: an error in it fails the run, and a job submitted again stays the same job.
 
-Where a caller handed in another job under an id that was taken, the cell judged the starts of the
-first by the second. 797 calls of one file's tests ended with "IndexError: tuple index out of range"
-in a task that nobody waited for: the VM seemed silent, and the test passed.
+When a caller submitted another job under an id in use, the cell checked the starts of the first job
+against the second. In one test file 797 calls ended with "IndexError: tuple index out of range" in
+a task that nothing awaited: the VM seemed silent, and the test passed.
 """
 
 import asyncio
--- a/tests/jobs/test_emulated_organisations.py
+++ b/tests/jobs/test_emulated_organisations.py
@@ -1,4 +1,4 @@
-"""Organisations with caps in the emulated system, while caps change and all else fails."""
+"""Organisations with caps in the emulated system, while caps change and faults occur."""
 
 import pytest
 
--- a/tests/test_structured_logs.py
+++ b/tests/test_structured_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are JSON, bounded, and never block."""
+"""Log lines are JSON, bounded in size and rate, and never block."""
 
 import contextlib
 import json
@@ -42,8 +42,8 @@
     return reading, writing
 
 
-class _Reader:
-    """Reads whole lines; a line that has come in part is kept until the rest is there."""
+class _LineReader:
+    """Reads complete lines; a partial line is kept until the rest has arrived."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -53,8 +53,8 @@
         with contextlib.suppress(BlockingIOError):
             while chunk := os.read(self._descriptor, 65_536):
                 self._rest += chunk
-        *whole, self._rest = self._rest.split(b"\n")
-        return [json.loads(line) for line in whole]
+        *complete, self._rest = self._rest.split(b"\n")
+        return [json.loads(line) for line in complete]
 
 
 @pytest.mark.parametrize(
@@ -73,17 +73,17 @@
     written = 0
     for _ in range(int(burst / 10_000) + 50):
         logger.info(payload)
-        written += sum(len(line["message"]) for line in _Reader(reading).lines())
+        written += sum(len(line["message"]) for line in _LineReader(reading).lines())
     budget = handler.runs if name == RUN_LOGGER else handler.decisions
     assert 45 <= budget.dropped <= 60
     assert written <= burst + 20_000
     now[0] = 1.0
     logger.info("after")
-    (line,) = _Reader(reading).lines()
+    (line,) = _LineReader(reading).lines()
     assert line[field] == budget.dropped
 
 
-def test_nobody_who_reads_is_waited_for() -> None:
+def test_logging_does_not_wait_for_a_reader() -> None:
     _, writing = _pipe()
     handler = BoundedHandler(writing, lambda: 0.0)
     for name in ("sablemount.jobs", RUN_LOGGER):
@@ -94,13 +94,13 @@
     assert handler.runs.dropped == 2_000
 
 
-def test_lines_of_decisions_wait_for_a_reader_whole_and_in_order() -> None:
+def test_decision_lines_wait_for_a_reader_complete_and_in_order() -> None:
     reading, writing = _pipe()
     logger = _logger(BoundedHandler(writing, lambda: 0.0))
     for number in range(300):
         logger.info("x" * 1_000, extra={"number": number})
     lines = []
-    reader = _Reader(reading)
+    reader = _LineReader(reading)
     while found := reader.lines():
         lines += found
         logger.info("flushed", extra={"number": -1})
@@ -124,8 +124,8 @@
         for index in range(STARTS // JOBS):
             for message in ("run ended", "stop", "run found"):
                 runs.info(message, extra={"task": f"{number:016x}.0.0.{index}", "vm": "w" * 12})
-        _one_job(requests, f"{number:016x}", STARTS // JOBS, now[0])
-        found = _Reader(reading).lines()
+        _log_one_job(requests, f"{number:016x}", STARTS // JOBS, now[0])
+        found = _LineReader(reading).lines()
         size += sum(len(json.dumps(line)) for line in found)
         lines += found
     for message in ("step placed", "job ended"):
@@ -135,7 +135,7 @@
     assert size / SECONDS < 200_000
 
 
-def _one_job(
+def _log_one_job(
     logger: logging.Logger,
     name: str,
     tasks: int,
@@ -143,7 +143,7 @@
     vm_name: str = "w" * 12,
     began_after: float = 0.0,
 ) -> None:
-    """Log what a job's placement and end say."""
+    """Log the lines of a job's placement and end."""
     step = StepSpec(tasks, Shape(4_000, 10_000), expected_ms=1000.0)
     record = JobRecord(QueueTerms("queue", "pool"), JobSpec("", (step,)), 0.0, 1)
     job = JobRow(name, record, now)
@@ -159,8 +159,8 @@
 def test_no_line_of_a_wide_job_is_longer_than_readers_take() -> None:
     reading, writing = _pipe()
     logger = _logger(BoundedHandler(writing, lambda: 0.0))
-    _one_job(logger, "f" * 16, 300, 0.0)
-    lines = _Reader(reading).lines()
+    _log_one_job(logger, "f" * 16, 300, 0.0)
+    lines = _LineReader(reading).lines()
     assert max(len(json.dumps(line)) for line in lines) < 4_096
     for message, parts in (("step placed", 5), ("job runs", 4), ("job ended", 1)):
         assert [line["message"] for line in lines].count(message) == parts
@@ -168,12 +168,12 @@
     assert sum(len(rows) for rows in ended) == 300
 
 
-def test_nor_is_one_that_names_lives_of_vms() -> None:
-    """Their names have the start of the life too, twice as many characters."""
+def test_no_line_with_names_of_incarnations_is_too_long() -> None:
+    """Names of incarnations include the time of their start, so that they are twice as long."""
     reading, writing = _pipe()
     logger = _logger(BoundedHandler(writing, lambda: 0.0))
-    _one_job(logger, "f" * 16, 300, 0.0, "w" * 12 + "/1789070305840", 123.456)
-    lines = _Reader(reading).lines()
+    _log_one_job(logger, "f" * 16, 300, 0.0, "w" * 12 + "/1789070305840", 123.456)
+    lines = _LineReader(reading).lines()
     assert max(len(json.dumps(line)) for line in lines) < 4_096
     ended = [line["runs"] for line in lines if line["message"] in ("job runs", "job ended")]
     assert sum(len(rows) for rows in ended) == 300
