--- a/src/sablemount/jobs/actions.py
+++ b/src/sablemount/jobs/actions.py
@@ -48,7 +48,7 @@
 
 
 class AskAdvice(msgspec.Struct, frozen=True):
-    """Ask through a call slot which VMs may run a step; ``cost`` is the expected seconds."""
+    """Ask through a call slot which VMs may run a step; ``expected_s`` is the expected time."""
 
     lane: str
     step: str
@@ -68,7 +68,7 @@
 class RunReport(msgspec.Struct, frozen=True, array_like=True):
     """A run that a VM holds; ``percent`` is its progress.
 
-    ``figure`` covers the last half second: the tail latency in ms for a latency-sensitive task,
+    ``metric`` covers the last half second: the tail latency in ms for a latency-sensitive task,
     otherwise the cores in use (thousandths).
     """
 
--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -145,7 +145,7 @@
     def tick(self, noting: bool = True, confirmed_at: float | None = None) -> list[Action]:
         """Run the systems and return the actions to carry out.
 
-        ``noting`` says whether the store answers, so that completions can be recorded;
+        ``store_answers`` says whether the store answers, so that completions can be recorded;
         ``confirmed_at`` is the local time up to which no other leader existed, by default the
         current time.
         """
--- a/src/sablemount/jobs/state.py
+++ b/src/sablemount/jobs/state.py
@@ -224,8 +224,8 @@
         if len(job.run_ends) >= MAX_RUN_ENDS:
             job.more_runs += 1
             return
-        began_at = run.started_at or run.sent_at
-        job.run_ends.append(RunEnd(run.task, run.number, run.vm, began_at, self.now, outcome))
+        start_time = run.started_at or run.sent_at
+        job.run_ends.append(RunEnd(run.task, run.number, run.vm, start_time, self.now, outcome))
 
     def resize(self, vm: VmRow, capacity: Shape) -> None:
         """Set the capacity of a VM, which is unknown until its entry has been read."""
