--- a/src/sablemount/jobs/job_lines.py
+++ b/src/sablemount/jobs/job_lines.py
@@ -59,9 +59,9 @@
         logger.info("runs lost with VM", extra=extra)
 
 
-def _lost_run_row(run: RunRow, heard_at: float) -> tuple[str, int, float, str]:
+def _lost_run_row(run: RunRow, last_report_at: float) -> tuple[str, int, float, str]:
     """Return task, run, seconds from its request to the last report (below 0: after), state."""
-    return (run.task, run.number, round(heard_at - run.sent_at, 3), run.state.value)
+    return (run.task, run.number, round(last_report_at - run.sent_at, 3), run.state.value)
 
 
 def job_ended(logger: logging.Logger, job: JobRow, now: float, wall_ms: float) -> None:
@@ -69,7 +69,7 @@
     terms = job.record.terms
     steps = job.record.spec.steps
     known = round(now - job.accepted_at, 3)
-    rows = [_run_row(end, job.accepted_at) for end in job.run_ends]
+    rows = [_run_row(completion, job.accepted_at) for completion in job.run_ends]
     first, *others = _split_rows(rows)
     for part in others:
         logger.info("job runs", extra={"job": job.name, "known": known, "runs": part})
@@ -108,7 +108,7 @@
     return parts
 
 
-def _run_row(end: RunEnd, since: float) -> RunCells:
-    task = end.task.partition(".")[2]
-    began, ended = round(end.began - since, 3), round(end.ended - since, 3)
-    return (task, end.number, end.vm, began, ended, end.how)
+def _run_row(completion: RunEnd, since: float) -> RunCells:
+    task = completion.task.partition(".")[2]
+    start_s, end_s = round(completion.began - since, 3), round(completion.ended - since, 3)
+    return (task, completion.number, completion.vm, start_s, end_s, completion.how)
--- a/src/sablemount/jobs/journal.py
+++ b/src/sablemount/jobs/journal.py
@@ -220,10 +220,10 @@
             if row is not None and current and not row.in_use:
                 row.in_use = True
                 self._state.freed += 1
-        for vm, end in batch.ends.items():
+        for vm, number in batch.ends.items():
             row = self._state.vms.get(vm)
             if row is not None:
-                row.acked_end = max(row.acked_end, end)
+                row.acked_end = max(row.acked_end, number)
         for run in batch.noted:
             run.noted = True
 
--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -94,8 +94,8 @@
 
     def __init__(self, settings: JobSettings, epoch: int, clock: Clock) -> None:
         self._clock = clock
-        now = clock.monotonic()
-        self.state = State(settings, epoch, now, clock.wall_ms())
+        created_at = clock.monotonic()
+        self.state = State(settings, epoch, created_at, clock.wall_ms())
         self.lifecycle = Lifecycle(self.state)
         self.acks = Acks(self.state)
         self.vms = Vms(self.state, self.acks)
@@ -133,7 +133,7 @@
         self.pacing = Pacing(self.state)
         self._vms_of_unnamed_pools: dict[str, VmInfo] = {}
         """VMs of pools that the configuration does not name; they are not used."""
-        self._slow_systems_ran_at = now
+        self._slow_systems_ran_at = created_at
 
     # -- Time --------------------------------------------------------------------------------
 
@@ -372,9 +372,9 @@
 
     # -- VMs' answers ------------------------------------------------------------------------
 
-    def heard(self, heard: Heard) -> bool:
+    def heard(self, report: Heard) -> bool:
         """Handle a VM's report; return whether it lists new completions to be recorded."""
-        return self.reconcile.heard(heard)
+        return self.reconcile.heard(report)
 
     def start_refused(
         self, vm: str, task: str, number: int, why: StartRefusal, certain: bool
--- a/src/sablemount/jobs/state.py
+++ b/src/sablemount/jobs/state.py
@@ -241,7 +241,7 @@
         """Charge the next incarnation of a VM for a run that may have started there instead."""
         key = (run.task, run.number)
         run.left = run.left or run.vm
-        orphan = self.orphans.pop((run.vm, *key), None)
+        orphaned = self.orphans.pop((run.vm, *key), None)
         before = self.vms[run.vm]
         del before.runs[key]
         before.room = before.room.plus(run.charge)
@@ -255,7 +255,7 @@
             run.state = RunState.SENT
         vm.runs[key] = run
         vm.room = vm.room.plus(run.charge, -1)
-        if orphan is not None:
+        if orphaned is not None:
             self.orphans[(run.vm, *key)] = run
 
     def drop_run(self, run: RunRow, outcome: str) -> None:
