--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -327,7 +327,7 @@
     # -- Callers -----------------------------------------------------------------------------
 
     def submit(self, name: str, queue: Queue, spec: JobSpec, organisation: str = "") -> Submission:
-        """Accept a job of an organisation, or find that it is known."""
+        """Enter a job of an organisation, or find that it is known."""
         known = self.state.jobs.get(name)
         if known is not None:
             return Submission.KNOWN if known.durable else Submission.PENDING
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -177,7 +177,7 @@
         return self.crashed_in(vm.info.entry, vm.name)
 
     def crashed_in(self, entry: str, but: str) -> bool:
-        """Return whether an incarnation of an entry other than ``but`` crashed under the task."""
+        """Return whether an entry's incarnation except ``excluded_vm`` crashed under the task."""
         prefix = entry + LIFE_SEPARATOR
         return any(name.startswith(prefix) and name != but for name in self.crashes)
 
@@ -186,7 +186,7 @@
         return self.weights.get(vm, CLEAR)
 
     def evidence(self, but: str = "") -> float:
-        """Return the total evidence weight of the crashes under the task, except that of ``but``.
+        """Return the total evidence weight of the crashes under the task, except ``excluded_vm``'s.
 
         Of the crashes of one VM only the one with the largest weight counts, since a VM that
         crashes repeatedly may be the cause itself.
