--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -82,11 +82,17 @@
     """Why a VM did not start a run."""
 
     OLD = "old"
+    """A run of the task with this number or a higher one was stopped or has ended there."""
     LATE = "late"
+    """By the VM's clock, the start arrived after its validity."""
     ROOM = "room"
+    """The run does not fit into the VM's free capacity."""
     TICKET = "ticket"
+    """The ticket is missing or not valid."""
     UNHEALTHY = "unhealthy"
+    """The VM is unhealthy."""
     REJECTED = "rejected"
+    """Any other refusal."""
 
 
 class JobScheduler:
--- a/src/sablemount/jobs/settings.py
+++ b/src/sablemount/jobs/settings.py
@@ -15,6 +15,7 @@
     state_kept: float = 120.0
     """How long the state of an ended job can be queried."""
     restore: float = 0.25
+    """Time that a task loses when it restarts from a saved state."""
     cap_overage: float = 0.0
     """Share of an organisation's cap by which runs that are possible but unseen may exceed it."""
     fresh: float = 2.5
--- a/src/sablemount/jobs/state.py
+++ b/src/sablemount/jobs/state.py
@@ -85,6 +85,7 @@
         self.freed = 0
         """Version of the free capacity: counts changes that may let a waiting task fit."""
         self.placed_at_freed = -1
+        """Capacity version for which placement has tried all steps."""
         self.vms_changed = 0
         """Version of the VMs: counts changes that may make VMs usable that steps have no advice on
         yet."""
@@ -101,6 +102,7 @@
         """Whether the store answers, so that completions can be recorded."""
         self.actions: list[Action] = []
         self.unheard_until = NEVER
+        """Time until which VMs that have not reported may hold leases of previous leaders."""
         self._fence = 0
         self.logger = logging.getLogger("sablemount.jobs")
         self.run_logger = logging.getLogger(RUN_LOGGER)
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -355,6 +355,7 @@
     told_at: float = NEVER
     """When a description with a newer revision arrived."""
     room: Shape = Shape()
+    """Its capacity less what runs are charged and what is reserved for steps."""
     runs: dict[tuple[str, int], RunRow] = field(default_factory=dict)
     heard_at: float = NEVER
     first_heard_at: float = NEVER
@@ -383,6 +384,7 @@
     follows_at: float = NEVER
     """When it was found to follow an incarnation under the same id whose end was not planned."""
     seen_end: int = 0
+    """Last completion that the VM has listed."""
     noted_end: int = 0
     """Last completion that was put into a batch."""
     acked_end: int = 0
@@ -413,6 +415,7 @@
     failed_jobs: set[str] = field(default_factory=set)
     """Jobs of which a task has failed there since a task of theirs last succeeded there."""
     kept_priority: int = 0
+    """Priority for which its capacity is reserved."""
     kept_for: str = ""
     """Step for which alone its capacity is reserved; empty if any step of that priority may use it.
     """
@@ -420,6 +423,7 @@
     """Until when its capacity is reserved for that step, or for work of that priority or more
     urgent work."""
     strikes: int = 0
+    """Number of quarantines since a task last succeeded there; each doubles the next pause."""
     recorded: bool = False
     """Whether its record says, or is about to say, that it may run something."""
     uses: int = 0
--- a/tests/jobs/rig.py
+++ b/tests/jobs/rig.py
@@ -135,9 +135,9 @@
         return batch
 
     def accept(
-        self, name: str, job: JobSpec, to: Queue | None = None, organisation: str = ""
+        self, name: str, job: JobSpec, to_queue: Queue | None = None, organisation: str = ""
     ) -> JobRow:
-        self.scheduler.submit(name, to or queue(), job, organisation)
+        self.scheduler.submit(name, to_queue or queue(), job, organisation)
         self.commit()
         return self.scheduler.state.jobs[name]
 
