--- a/tests/jobs/test_emulated_advice.py
+++ b/tests/jobs/test_emulated_advice.py
@@ -15,7 +15,7 @@
     return StartRun(vm, task, 1, "payload", 0.0, "", ticket)
 
 
-def test_a_ticket_is_good_for_its_step_and_life_and_for_a_while() -> None:
+def test_a_ticket_is_valid_for_its_step_and_incarnation_for_a_while() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         reply = await EmulatedAdvice().advise(STEP, VMS, 1.0)
--- a/tests/jobs/test_record_sizes.py
+++ b/tests/jobs/test_record_sizes.py
@@ -67,7 +67,7 @@
     system.store.append = append_bounded  # type: ignore[method-assign]
 
 
-def test_a_job_that_is_too_large_keeps_no_other_from_being_accepted() -> None:
+def test_a_job_that_is_too_large_does_not_block_other_acceptances() -> None:
     async def scenario() -> None:
         system = System(7)
         _refuse_large_records(system)
--- a/tests/jobs/test_scheduling.py
+++ b/tests/jobs/test_scheduling.py
@@ -153,27 +153,27 @@
 
 
 def test_advice_is_asked_for_at_acceptance_and_its_ticket_used() -> None:
-    asking = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
-    rig = Rig(vms=3, queues=(asking,))
+    advised_queue = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
+    rig = Rig(vms=3, queues=(advised_queue,))
     rig.scheduler.advice.set_lanes({"one", "two"})
-    rig.scheduler.submit("job", asking, spec(StepSpec(2, HALF_A_VM)))
+    rig.scheduler.submit("job", advised_queue, spec(StepSpec(2, HALF_A_VM)))
     rig.tick()
-    (ask,) = rig.asked()
-    assert sorted(ask.vms) == ["w0", "w1", "w2"]
+    (call,) = rig.asked()
+    assert sorted(call.vms) == ["w0", "w1", "w2"]
     rig.commit()
-    rig.scheduler.advice.answered(ask.lane, ask.step, ask.vms, {"w2": "t"}, 2000.0)
+    rig.scheduler.advice.answered(call.lane, call.step, call.vms, {"w2": "t"}, 2000.0)
     rig.tick()
     assert {(start.vm, start.ticket) for start in rig.started()} == {("w2", "t")}
 
 
 def test_a_ticket_that_has_run_out_is_renewed_for_the_vm_about_to_be_used() -> None:
-    asking = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
-    rig = Rig(vms=3, queues=(asking,))
+    advised_queue = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
+    rig = Rig(vms=3, queues=(advised_queue,))
     rig.scheduler.advice.set_lanes({"one"})
-    rig.scheduler.submit("job", asking, spec(StepSpec(1, HALF_A_VM)))
+    rig.scheduler.submit("job", advised_queue, spec(StepSpec(1, HALF_A_VM)))
     rig.tick()
-    ask = rig.asked()[0]
-    rig.scheduler.advice.answered(ask.lane, ask.step, ask.vms, {"w1": "t"}, 2000.0)
+    call = rig.asked()[0]
+    rig.scheduler.advice.answered(call.lane, call.step, call.vms, {"w1": "t"}, 2000.0)
     rig.clock.time += 2.2
     rig.hear_all()
     rig.commit()
@@ -198,10 +198,10 @@
 
 
 def test_a_step_asks_again_when_its_call_slot_is_removed() -> None:
-    asking = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
-    rig = Rig(vms=1, queues=(asking,))
+    advised_queue = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
+    rig = Rig(vms=1, queues=(advised_queue,))
     rig.scheduler.advice.set_lanes({"one", "two"})
-    rig.scheduler.submit("job", asking, spec(StepSpec(1, CORE)))
+    rig.scheduler.submit("job", advised_queue, spec(StepSpec(1, CORE)))
     rig.tick()
     lane = rig.asked()[0].lane
     rig.scheduler.advice.set_lanes({"one", "two"} - {lane})
@@ -243,18 +243,18 @@
 
 
 def test_a_vm_with_a_valid_ticket_goes_before_a_fuller_one() -> None:
-    asking = queue("q", 0, AdviceTerms(700.0, 5.0, 2000.0))
-    rig = Rig(vms=2, queues=(asking, queue("other")))
+    advised_queue = queue("q", 0, AdviceTerms(700.0, 5.0, 2000.0))
+    rig = Rig(vms=2, queues=(advised_queue, queue("other")))
     rig.scheduler.advice.set_lanes({"one"})
-    rig.scheduler.submit("job", asking, spec(StepSpec(1, HALF_A_VM)))
+    rig.scheduler.submit("job", advised_queue, spec(StepSpec(1, HALF_A_VM)))
     rig.tick()
-    ask = rig.asked()[0]
-    tickets = dict.fromkeys(ask.vms, "t")
-    rig.scheduler.advice.answered(ask.lane, ask.step, ask.vms, tickets, 2000.0)
+    call = rig.asked()[0]
+    tickets = dict.fromkeys(call.vms, "t")
+    rig.scheduler.advice.answered(call.lane, call.step, call.vms, tickets, 2000.0)
     rig.clock.time += 3.0
     rig.hear_all()
     # Only w1 has a new ticket, although w0 is fuller.
-    rig.scheduler.advice.answered("one", ask.step, ("w1",), {"w1": "t"}, 2000.0)
+    rig.scheduler.advice.answered("one", call.step, ("w1",), {"w1": "t"}, 2000.0)
     advice = rig.scheduler.state.jobs["job"].steps[(0, 0)].advice
     assert advice is not None
     advice.good["w1"].until = rig.clock.time + 2.0
