--- a/tests/jobs/test_emulated_advice.py
+++ b/tests/jobs/test_emulated_advice.py
@@ -1,4 +1,4 @@
-"""Emulated advice: few VMs may run a step, tickets end, and calls wait for their turn."""
+"""Emulated advice: few VMs may run a step, tickets expire, and calls queue up."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
     return StartRun(vm, task, 1, "payload", 0.0, "", ticket)
 
 
-def test_a_ticket_is_good_for_its_step_and_life_and_for_a_while() -> None:
+def test_a_ticket_is_valid_for_its_step_and_incarnation_for_a_while() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         reply = await EmulatedAdvice().advise(STEP, VMS, 1.0)
@@ -37,7 +37,7 @@
         calls = [advice.advise(STEP, VMS, 5.0) for _ in range(45)]
         began = asyncio.get_running_loop().time()
         replies = await asyncio.gather(*calls)
-        # One is at work beside those that wait.
+        # One call is processed besides those that wait.
         assert sum(reply.ok for reply in replies) == WAITING + 1
         assert asyncio.get_running_loop().time() - began > 0.005 * WAITING
         assert AdviceReply(False) in replies
