--- a/benchmarks/played_day.py
+++ b/benchmarks/played_day.py
@@ -80,7 +80,9 @@
         for line in lines:
             self._take(line)
         self.no_leader = _no_leader(lines)
-        self.unsettled = spans(_times(lines, "leading"), _times(lines, "former runs settled"))
+        self.unsettled = spans(
+            _times(lines, "leading"), _times(lines, "runs of previous leaders settled")
+        )
         leaders = _leaders_lines(lines)
         self.store_down = spans(
             _times(leaders, "store does not answer"), _times(leaders, "store answers")
@@ -161,7 +163,7 @@
 
 def _no_leader(lines: list[Line]) -> list[Span]:
     """Return the spans between the last sign of a leader and the next one that leads."""
-    orders = ("step placed", "job accepted", "job ended", "leads no more")
+    orders = ("step placed", "job accepted", "job ended", "leadership ended")
     found = []
     last = 0.0
     for line in lines:
