--- a/src/sablemount/jobs/systems/lifecycle.py
+++ b/src/sablemount/jobs/systems/lifecycle.py
@@ -54,7 +54,7 @@
             state.now + terms.stretch * critical_path + terms.target_latency_ms / MS_PER_S
         )
         state.jobs[name] = job
-        state.live[name] = job
+        state.open_jobs[name] = job
         state.terms.setdefault(terms.name, terms)
         if record.spec.times:
             self._jobs_with_due_times[name] = job
@@ -66,7 +66,7 @@
         state = self._state
         job = self.create(name, record)
         job.durable = True
-        job.former = True
+        job.from_previous_leader = True
         age = max(0.0, (state.wall_ms - record.accepted_ms) / MS_PER_S)
         job.objective_at -= min(age, job.objective_at - state.now)
         if progress is not None:
@@ -79,7 +79,7 @@
             QueueTerms("", ""), JobSpec("", ()), 0.0, 0, progress.organisation, progress.public
         )
         job = JobRow(name, record, self._state.now, durable=True)
-        job.state = job.shown = JobState(progress.state)
+        job.state = job.visible_state = JobState(progress.state)
         job.ended_ms = progress.ended_ms
         self._state.jobs[name] = job
         return job
@@ -89,7 +89,7 @@
         job.begun = job.state is not JobState.PENDING
         if job.state.final:
             self._close(job)
-            job.shown = job.state
+            job.visible_state = job.state
             job.ended_ms = progress.ended_ms
             return
         for key, recorded in progress.steps.items():
@@ -113,7 +113,7 @@
 
     # -- Opening -----------------------------------------------------------------------------
 
-    def open_due(self) -> None:
+    def open_due_repetitions(self) -> None:
         """Open the repetitions that are due."""
         for job in list(self._jobs_with_due_times.values()):
             self._open_repetitions(job)
@@ -176,7 +176,7 @@
             step.waiting -= 1
         task.state = TaskState.DONE
         step.open_tasks -= 1
-        self._state.mark(step.job)
+        self._state.mark_dirty(step.job)
         if step.open_tasks:
             return
         self._state.open_steps.pop(step.key, None)
@@ -197,26 +197,26 @@
             return
         job.state = final
         job.ended_ms = self._state.wall_ms
-        self._state.mark(job)
+        self._state.mark_dirty(job)
         self._close(job)
 
     def discard(self, job: JobRow) -> None:
         """Remove a job that was never accepted."""
         self._close(job)
-        self._state.dirty.pop(job.name, None)
+        self._state.dirty_jobs.pop(job.name, None)
 
     def _close(self, job: JobRow) -> None:
         state = self._state
-        state.live.pop(job.name, None)
+        state.open_jobs.pop(job.name, None)
         for step in job.steps.values():
             state.open_steps.pop(step.key, None)
-            state.release_booked(step)
+            state.release_reserved(step)
             for task in step.tasks:
                 for run in list(task.runs):
-                    state.orphan(run)
+                    state.orphan_run(run)
                 task.runs.clear()
 
-    def attempts(self, step: StepSpec, terms: QueueTerms) -> int:
+    def max_attempts(self, step: StepSpec, terms: QueueTerms) -> int:
         """Return how often a task of a step may fail."""
         return 1_000_000_000 if step.lasting else max(1, terms.max_attempts)
 
@@ -232,18 +232,18 @@
             if recorded is not None:
                 steps[f"{repetition}.{number}"] = recorded
         progress = Progress(int(job.state), steps)
-        if job.watched:
+        if job.has_crashes:
             _add_crashes(job, progress)
         return progress
 
-    def forget_old(self) -> list[JobRow]:
+    def remove_old(self) -> list[JobRow]:
         """Remove the ended jobs whose state no longer has to be available, and return them."""
-        kept_ms = self._state.settings.state_kept * MS_PER_S * RETENTION_FACTOR
+        kept_ms = self._state.settings.state_retention_s * MS_PER_S * RETENTION_FACTOR
         cutoff = self._state.wall_ms - kept_ms
         old = [
             job
             for job in self._state.jobs.values()
-            if job.state.final and job.shown.final and job.ended_ms < cutoff
+            if job.state.final and job.visible_state.final and job.ended_ms < cutoff
         ]
         for job in old:
             del self._state.jobs[job.name]
@@ -257,8 +257,8 @@
             if task.crashes and task.state is not TaskState.DONE:
                 key = f"{step.repetition}.{step.number}.{task.index}"
                 progress.crashes[key] = tuple(task.crashes)
-                if any(vm in task.weights for vm in task.crashes):
-                    progress.weights[key] = tuple(map(task.weight, task.crashes))
+                if any(vm in task.crash_weights for vm in task.crashes):
+                    progress.weights[key] = tuple(map(task.crash_weight, task.crashes))
 
 
 RETENTION_FACTOR = 1.5
--- a/src/sablemount/jobs/systems/lives.py
+++ b/src/sablemount/jobs/systems/lives.py
@@ -10,13 +10,13 @@
 from sablemount.jobs.state import State
 from sablemount.jobs.tables import VmRow
 
-__all__ = ["Lives"]
+__all__ = ["Incarnations"]
 
 MAX_EARLIER_NAMES = 8
 """Earlier incarnations of an entry whose names are kept: outdated lists may name recent ones."""
 
 
-class Lives:
+class Incarnations:
     """Keeps the current incarnation of each entry, and the names of recent earlier ones."""
 
     def __init__(self, state: State) -> None:
@@ -24,25 +24,25 @@
         self._current: dict[str, VmRow] = {}
         self._earlier_names: dict[str, deque[str]] = {}
 
-    def present(self, entry: str) -> VmRow | None:
+    def current(self, entry: str) -> VmRow | None:
         """Return the current incarnation of an entry, or ``None`` if none is known to be up."""
         row = self._current.get(entry)
-        return None if row is None or row.gone else row
+        return None if row is None or row.terminated else row
 
-    def is_over(self, info: VmInfo) -> bool:
+    def is_superseded(self, info: VmInfo) -> bool:
         """Return whether an entry describes an incarnation that another one has followed.
 
         Incarnations are told apart by name, since the clock of a restarted VM may have been set
         back; by start time where the name was never known.
         """
-        if info.name in self._earlier_names.get(info.entry, ()):
+        if info.name in self._earlier_names.get(info.entry_key, ()):
             return True
-        current = self.present(info.entry)
+        current = self.current(info.entry_key)
         return current is not None and info.born < current.info.born
 
-    def begin(self, row: VmRow) -> VmRow | None:
+    def make_current(self, row: VmRow) -> VmRow | None:
         """Make an incarnation the current one; return the one it follows if that was still up."""
-        entry = row.info.entry
+        entry = row.info.entry_key
         previous = self._current.get(entry)
         self._current[entry] = row
         # A late call for an earlier incarnation has no effect once this one has been called.
@@ -50,10 +50,10 @@
         if previous is None:
             return None
         self._earlier_names.setdefault(entry, deque(maxlen=MAX_EARLIER_NAMES)).append(previous.name)
-        return None if previous.gone else previous
+        return None if previous.terminated else previous
 
-    def forget(self, row: VmRow) -> None:
+    def remove(self, row: VmRow) -> None:
         """Remove an incarnation, and the names of those before it."""
-        if self._current.get(row.info.entry) is row:
-            del self._current[row.info.entry]
-            self._earlier_names.pop(row.info.entry, None)
+        if self._current.get(row.info.entry_key) is row:
+            del self._current[row.info.entry_key]
+            self._earlier_names.pop(row.info.entry_key, None)
--- a/src/sablemount/jobs/systems/pacing.py
+++ b/src/sablemount/jobs/systems/pacing.py
@@ -5,12 +5,12 @@
 target, and raised in small steps while all of them are well below it.
 """
 
-from sablemount.jobs.actions import PaceRun
+from sablemount.jobs.actions import ThrottleRun
 from sablemount.jobs.model import StepSpec
 from sablemount.jobs.state import State
 from sablemount.jobs.tables import RunRow, VmRow
 
-__all__ = ["Pacing"]
+__all__ = ["Throttling"]
 
 INTERVAL_S = 0.55
 """Interval between two changes on a VM: its reported latencies cover the last half second."""
@@ -30,7 +30,7 @@
 throttled."""
 
 
-class Pacing:
+class Throttling:
     """Adjusts the speed of best-effort runs on each VM that runs both kinds of task."""
 
     def __init__(self, state: State) -> None:
@@ -39,7 +39,11 @@
     def run(self) -> None:
         """Adjust the VMs whose latest report reflects their last change."""
         for row in self._state.vms.values():
-            if row.runs and not row.gone and row.heard_at > row.paced_at + INTERVAL_S:
+            if (
+                row.runs
+                and not row.terminated
+                and row.last_report_at > row.throttled_at + INTERVAL_S
+            ):
                 self._adjust(row)
 
     def _adjust(self, row: VmRow) -> None:
@@ -48,8 +52,8 @@
             return
         pressure = self._pressure(row)
         for run in best_effort_runs:
-            share = _next_speed(run.share, pressure)
-            if share != run.share:
+            share = _next_speed(run.speed_percent, pressure)
+            if share != run.speed_percent:
                 self._throttle(row, run, share, pressure)
 
     def _throttle(self, row: VmRow, run: RunRow, share: int, pressure: float | None) -> None:
@@ -63,9 +67,9 @@
                 "pressure": None if pressure is None else round(pressure, 2),
             },
         )
-        run.share = share
-        row.paced_at = state.now
-        state.emit(PaceRun(run.vm, run.task, run.number, share))
+        run.speed_percent = share
+        row.throttled_at = state.now
+        state.emit(ThrottleRun(run.vm, run.task, run.number, share))
 
     # -- Runs --------------------------------------------------------------------------------
 
@@ -83,7 +87,7 @@
         It is ``None`` if no latency-sensitive task runs there.
         """
         pressures = [
-            run.figure / spec.target_ms
+            run.metric / spec.target_ms
             for run in row.runs.values()
             if (spec := self._spec(run)) is not None and _is_latency_sensitive(spec)
         ]
@@ -100,7 +104,7 @@
         row = self._state.vms.get(vm)
         run = None if row is None else row.runs.get((task, number))
         if run is not None:
-            run.share = None
+            run.speed_percent = None
 
 
 def _is_latency_sensitive(spec: StepSpec) -> bool:
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -5,18 +5,18 @@
 are requested.
 """
 
-from sablemount.jobs.job_lines import runs_placed
+from sablemount.jobs.job_lines import log_placement
 from sablemount.jobs.model import Shape
 from sablemount.jobs.state import State
 from sablemount.jobs.systems.advice import Advice
 from sablemount.jobs.systems.caps import Caps
 from sablemount.jobs.systems.choice import Assignment, Choice
-from sablemount.jobs.systems.every import Every
+from sablemount.jobs.systems.every import IntervalTimer
 from sablemount.jobs.systems.held_back import BlockingAnalysis
 from sablemount.jobs.systems.reservation import Reservation
 from sablemount.jobs.systems.speeds import Speeds
 from sablemount.jobs.systems.starts import Starts
-from sablemount.jobs.systems.trials import Trials
+from sablemount.jobs.systems.trials import Isolation
 from sablemount.jobs.systems.vms import Vms
 from sablemount.jobs.tables import StepRow, TaskRow, TaskState, VmRow
 
@@ -57,10 +57,10 @@
         self._advice = advice
         self._starts = starts
         self._speeds = speeds
-        self._trials = Trials(state)
+        self._trials = Isolation(state)
         self._choice = Choice(state, advice, self._trials, speeds)
         self._blocking = BlockingAnalysis(state, vms, advice, reservation, self._trials)
-        self._wait_log_timer = Every(LOG_WAIT_INTERVAL_S)
+        self._wait_log_timer = IntervalTimer(LOG_WAIT_INTERVAL_S)
         self._last_round_at = -RETRY_INTERVAL_S
         self._max_free = Shape()
         """An upper bound of the cores, memory and accelerators that are free on any one usable
@@ -80,27 +80,27 @@
         """Run a placement round if something has changed since the last pass."""
         state = self._state
         if state.now - self._last_round_at > RETRY_INTERVAL_S:
-            state.freed += 1
+            state.capacity_version += 1
         if self._wait_log_timer.due(state.now):
             self._log_waiting()
-        if state.freed == state.placed_at_freed and not state.touched:
+        if state.capacity_version == state.placed_at_capacity_version and not state.touched_steps:
             return
         self._last_round_at = state.now
         if not self._tried:
-            self._pass_freed_count = state.freed
+            self._pass_freed_count = state.capacity_version
         usable = self.usable_rows()
         self._max_free = _max_free_capacity(usable)
-        self._trials.begin(usable)
+        self._trials.begin_round(usable)
         self._reservation.begin()
         self._caps.begin()
         before = set(self._tried)
         if self._round(usable):
             # A step that was tried in an earlier round and touched since is tried again.
-            state.touched &= before & state.open_steps.keys()
+            state.touched_steps &= before & state.open_steps.keys()
             self._tried.clear()
-            state.placed_at_freed = self._pass_freed_count
+            state.placed_at_capacity_version = self._pass_freed_count
         else:
-            state.touched -= self._tried - before
+            state.touched_steps -= self._tried - before
 
     @property
     def unfinished(self) -> bool:
@@ -115,21 +115,21 @@
         skipped in favour of the rest.
         """
         state = self._state
-        freed = state.freed
+        freed = state.capacity_version
         self._evaluated = 0
-        for step in self.in_order():
+        for step in self.steps_by_urgency():
             if not step.waiting:
                 state.open_steps.pop(step.key, None)
             elif step.key in self._tried and self._evaluated > MAX_VM_EVALUATIONS // 2:
                 continue
-            elif step.tried_at_freed != freed or step.key in state.touched:
+            elif step.tried_at_capacity_version != freed or step.key in state.touched_steps:
                 if self._evaluated > MAX_VM_EVALUATIONS:
                     return False
                 self._tried.add(step.key)
                 self._place(step, usable)
         return True
 
-    def in_order(self) -> list[StepRow]:
+    def steps_by_urgency(self) -> list[StepRow]:
         """Return the open steps, the most urgent first."""
         return sorted(self._state.open_steps.values(), key=self._urgency)
 
@@ -146,20 +146,20 @@
         if not job.durable or _gang_may_run(step):
             return False
         # What a previous leader accepted may still run on a VM that was not polled yet.
-        return not job.former or self._state.former_settled
+        return not job.from_previous_leader or self._state.previous_runs_settled
 
     def _place(self, step: StepRow, usable: list[VmRow]) -> None:
-        if step.booked and step.advice is not None and step.advice.asking:
+        if step.reserved and step.advice is not None and step.advice.calls_in_flight:
             return
         self._release_booked(step)
-        step.tried_at_freed = self._state.freed
+        step.tried_at_capacity_version = self._state.capacity_version
         if not self.ready(step):
             self._request_unknown(step, usable)
             return
         self._reservation.release(step)
         self._caps.release(step)
         places = self._caps.places(step)
-        step.note_cap(places < step.waiting, self._state.now)
+        step.update_capped(places < step.waiting, self._state.now)
         if places < step.waiting:
             self._caps.reserve(step)
             if step.spec.gang or not places:
@@ -172,7 +172,7 @@
             return
         rows = self.allowed(step, usable)
         self._evaluated += len(usable)
-        self._trials.prepare(step, rows)
+        self._trials.isolate_for(step, rows)
         chosen = self._choice.assign(step, tasks, self._reservation.available_to(step, rows))
         if len(chosen) < len(tasks):
             self._max_free = _max_free_capacity(usable)
@@ -183,8 +183,8 @@
         self._start_or_request(step, chosen)
 
     def _release_booked(self, step: StepRow) -> None:
-        names = list(step.booked)
-        self._state.release_booked(step)
+        names = list(step.reserved)
+        self._state.release_reserved(step)
         rows = (self._state.vms.get(name) for name in names)
         self._max_free = _max_free_capacity(
             [row for row in rows if row is not None], self._max_free
@@ -197,7 +197,7 @@
         Gangs are matched in any case, to reserve VMs, and so are jobs whose tasks are suspected of
         crashes and may wait for isolation.
         """
-        exhaustive = step.spec.gang or step.job.name in self._state.suspected
+        exhaustive = step.spec.gang or step.job.name in self._state.suspected_jobs
         return not exhaustive and not step.spec.charge.fits(self._max_free)
 
     def startable(self, task: TaskRow) -> bool:
@@ -205,19 +205,21 @@
 
         While the store does not answer, tasks whose start has to be recorded first may not.
         """
-        return task.state is TaskState.WAITING and (self._state.noting or not task.noted_first)
+        return task.state is TaskState.WAITING and (
+            self._state.store_answers or not task.must_record_first
+        )
 
     def allowed(self, step: StepRow, usable: list[VmRow]) -> list[VmRow]:
         """Return the VMs on which a step may run, whether they have free capacity or not."""
         now = self._state.now
         priority = self._state.terms_of(step.job).priority
-        good = None if step.advice is None else step.advice.good
+        good = None if step.advice is None else step.advice.tickets
         return [
             row
             for row in self._candidates(step, usable)
             if (good is None or row.name in good)
-            and not row.kept_from(step, priority, now)
-            and row.trial in ("", step.job.name)
+            and not row.reserved_against(step, priority, now)
+            and row.isolated_job in ("", step.job.name)
         ]
 
     def is_candidate(self, step: StepRow, row: VmRow) -> bool:
@@ -229,7 +231,7 @@
 
         The VM is one that the step may use in other respects.
         """
-        if not step.job.watched:
+        if not step.job.has_crashes:
             return True
         return any(self._trials.may_start(task, row) for task in step.tasks if _is_waiting(task))
 
@@ -250,11 +252,11 @@
         late = [
             step
             for step in self._state.open_steps.values()
-            if step.waiting and now - max(step.opened_at, step.told_at) >= LOG_WAIT_AFTER_S
+            if step.waiting and now - max(step.opened_at, step.wait_logged_at) >= LOG_WAIT_AFTER_S
         ]
-        late.sort(key=lambda step: (step.told_at, step.opened_at))
+        late.sort(key=lambda step: (step.wait_logged_at, step.opened_at))
         for step in late[:MAX_LOGGED_STEPS]:
-            step.told_at = now
+            step.wait_logged_at = now
             self._log_wait(step, len(late))
 
     def _log_wait(self, step: StepRow, late: int) -> None:
@@ -273,13 +275,13 @@
                 "waits": step.waiting,
                 "of": step.open_tasks,
                 "ready": self.ready(step),
-                "noting": state.noting,
+                "noting": state.store_answers,
                 "crashes": max(len(task.crashes) for task in step.tasks),
-                "booked": len(step.booked),
-                "asking": 0 if advice is None else advice.asking,
+                "booked": len(step.reserved),
+                "asking": 0 if advice is None else advice.calls_in_flight,
                 "unasked_for": round(self._advice.slot_wait(step), 3),
-                "good": -1 if advice is None else len(advice.good),
-                "bad": -1 if advice is None else len(advice.bad),
+                "good": -1 if advice is None else len(advice.tickets),
+                "bad": -1 if advice is None else len(advice.denied_vms),
                 "held": self._blocking.count_reasons(step),
                 "late": late,
             },
@@ -290,7 +292,11 @@
     def _request_unknown(self, step: StepRow, usable: list[VmRow]) -> None:
         """Request advice on the VMs without any, fast enough ones and most free cores first."""
         advice = step.advice
-        if advice is None or advice.asking or advice.known_at == self._state.vms_changed:
+        if (
+            advice is None
+            or advice.calls_in_flight
+            or advice.known_at_vms_version == self._state.vms_version
+        ):
             return
         charge = step.spec.charge
         candidates = self._candidates(step, usable)
@@ -304,17 +310,20 @@
             # A VM that is silent or avoided now may lack advice, and may be usable again at any
             # time.
             if len(usable) == len(self._state.vms):
-                advice.known_at = self._state.vms_changed
+                advice.known_at_vms_version = self._state.vms_version
             return
         unknown = [row for row in unknown if self._is_worth_requesting(step, row)]
         if not unknown:
             return
         required_speed = self._speeds.required_speed(step)
         unknown.sort(
-            key=lambda row: (not self._speeds.fast_enough(required_speed, row), -row.room.cores)
+            key=lambda row: (
+                not self._speeds.fast_enough(required_speed, row),
+                -row.free_capacity.cores,
+            )
         )
         requested = unknown[: self._advice.request_size(step)]
-        self._advice.want(
+        self._advice.request(
             step, [row.name for row in requested], self._demand_share(step, requested)
         )
 
@@ -325,11 +334,11 @@
         capacity. Others would prevent each other, and all less urgent steps, from requesting it
         where there is some.
         """
-        if row.trial not in ("", step.job.name):
+        if row.isolated_job not in ("", step.job.name):
             return False
         if self._advice.has_slow_calls(step) or not self._advice.congested:
             return True
-        if not step.spec.charge.fits(row.room):
+        if not step.spec.charge.fits(row.free_capacity):
             return False
         if self._advice.in_demand(row.name):
             self._advice.defer(step)
@@ -340,28 +349,28 @@
         """Return the share of some VMs' free capacity that a step demands by a quick call."""
         if self._advice.has_slow_calls(step):
             return 0.0
-        places = sum(step.spec.charge.times_in(row.room) for row in rows)
+        places = sum(step.spec.charge.copies_in(row.free_capacity) for row in rows)
         return min(1.0, step.waiting / places) if places else 0.0
 
     def _start_or_request(self, step: StepRow, chosen: Assignment) -> None:
         if not chosen:
             return
-        stale = {row.name for _, row in chosen if not self._advice.valid(step, row)}
+        stale = {row.name for _, row in chosen if not self._advice.permits(step, row)}
         if stale and step.spec.gang:
             self._book(step, chosen)
-            self._advice.want(step, sorted({row.name for _, row in chosen}))
+            self._advice.request(step, sorted({row.name for _, row in chosen}))
             return
         good = [pair for pair in chosen if pair[1].name not in stale]
         self._start(step, good)
         if stale:
             self._book(step, [pair for pair in chosen if pair[1].name in stale])
-            self._advice.want(step, sorted(stale))
+            self._advice.request(step, sorted(stale))
 
     def _book(self, step: StepRow, chosen: Assignment) -> None:
         """Book the capacity of an assignment until its tickets have arrived."""
         for _, row in chosen:
-            step.booked[row.name] = step.booked.get(row.name, 0) + 1
-            row.room = row.room.plus(step.spec.charge, -1)
+            step.reserved[row.name] = step.reserved.get(row.name, 0) + 1
+            row.free_capacity = row.free_capacity.plus(step.spec.charge, -1)
 
     # -- Starts ------------------------------------------------------------------------------
 
@@ -369,16 +378,16 @@
         if not chosen:
             return
         if step.spec.gang:
-            self._starts.enter(step, chosen)
+            self._starts.create_runs(step, chosen)
         else:
             for pair in chosen:
-                self._starts.enter(step, [pair])
-        runs_placed(self._state.logger, step, chosen, self._state.now)
+                self._starts.create_runs(step, [pair])
+        log_placement(self._state.logger, step, chosen, self._state.now)
 
 
 def _max_free_capacity(rows: list[VmRow], least: Shape = NO_CAPACITY) -> Shape:
     """Return the most of each resource that is free on any one VM, and at least ``least``."""
-    capacities = [least, *(row.room for row in rows)]
+    capacities = [least, *(row.free_capacity for row in rows)]
     return Shape(
         max(capacity.cores for capacity in capacities),
         max(capacity.memory for capacity in capacities),
--- a/src/sablemount/jobs/systems/preemption.py
+++ b/src/sablemount/jobs/systems/preemption.py
@@ -11,7 +11,7 @@
 from sablemount.jobs.state import State
 from sablemount.jobs.systems.advice import Advice
 from sablemount.jobs.systems.caps import Caps
-from sablemount.jobs.systems.every import Every
+from sablemount.jobs.systems.every import IntervalTimer
 from sablemount.jobs.systems.placement import Placement
 from sablemount.jobs.systems.reconcile import Reconcile
 from sablemount.jobs.systems.urgency import Urgency
@@ -77,7 +77,7 @@
         self._advice = advice
         self._reconcile = reconcile
         self._urgency = Urgency(state)
-        self._timer = Every(INTERVAL_S)
+        self._timer = IntervalTimer(INTERVAL_S)
         self._tried: set[str] = set()
         """Steps tried in this pass over all open steps, which may take several rounds."""
         self._reserved_until: dict[str, float] = {}
@@ -86,12 +86,12 @@
     def run(self) -> None:
         """Free capacity for the most urgent waiting steps."""
         now = self._state.now
-        if not self._timer.due(now) or not self._state.noting:
+        if not self._timer.due(now) or not self._state.store_answers:
             return
         self._release_reservations()
         usable: list[VmRow] | None = None
         evaluated = 0
-        for step in self._placement.in_order():
+        for step in self._placement.steps_by_urgency():
             if len(self._reserved_until) >= self._max_concurrent_steps():
                 self._tried.clear()
                 return
@@ -123,9 +123,9 @@
         for key in expired:
             del self._reserved_until[key]
         for row in self._state.vms.values():
-            if row.kept_for in expired:
-                row.kept_for = ""
-                row.kept_until = NEVER
+            if row.reserved_for in expired:
+                row.reserved_for = ""
+                row.reserved_until = NEVER
 
     def _is_pending(self, key: str, until: float) -> bool:
         """Return whether capacity is being freed for a step that has not taken it yet."""
@@ -134,14 +134,14 @@
 
     def _is_due(self, step: StepRow) -> bool:
         """Return whether a step has waited long enough; a wait for tickets does not count."""
-        if not step.waiting or step.booked or not self._placement.ready(step):
+        if not step.waiting or step.reserved or not self._placement.ready(step):
             return False
-        if step.tried_at_freed < 0:
+        if step.tried_at_capacity_version < 0:
             # Placement has not tried the step yet, and may find capacity without preemption.
             return False
         if step.spec.lasting:
             return False
-        if step.job.watched and any(task.on_trial for task in step.tasks):
+        if step.job.has_crashes and any(task.needs_isolation for task in step.tasks):
             # Isolated tasks wait for their own VM, so that capacity on another is of no use to
             # them.
             return False
@@ -183,15 +183,15 @@
         The losses of one VM's offers increase.
         """
         charge = step.spec.charge
-        capacity = row.room
-        slots = charge.times_in(capacity)
+        capacity = row.free_capacity
+        slots = charge.copies_in(capacity)
         offers = [_Offer(row, slots, [], 0.0)] if slots else []
         victims: list[tuple[float, RunRow]] = []
         max_loss = 0.0
         for victim in sorted(self._victims(row, step), key=_victim_loss):
             capacity = capacity.plus(victim[1].charge)
             victims.append(victim)
-            gained = charge.times_in(capacity) - slots
+            gained = charge.copies_in(capacity) - slots
             if gained > 0:
                 capacity = _drop_needless(capacity, charge, slots + gained, victims)
                 max_loss = max(max_loss, sum(cost for cost, _ in victims))
@@ -218,8 +218,8 @@
     def _loss(self, run: RunRow, saves: bool) -> float:
         """Return the core seconds lost by stopping a run, which saves what can be saved."""
         elapsed = max(0.0, self._state.now - run.started_at)
-        lost = self._state.settings.restore if saves else elapsed
-        return run.charge.cores / MILLI * (lost + self._state.settings.stop_time)
+        lost = self._state.settings.restore_s if saves else elapsed
+        return run.charge.cores / MILLI * (lost + self._state.settings.stop_time_s)
 
     def _loss_fraction(self, step: StepRow) -> float:
         """Return the fraction of the maximum loss that is acceptable for a step now.
@@ -235,20 +235,20 @@
         state = self._state
         names = sorted({offer.row.name for offer in offers})
         cost = self._advice.cost(step, len(names))
-        until = state.now + state.settings.stop_time + 2 * cost + RESERVATION_MARGIN_S
+        until = state.now + state.settings.stop_time_s + 2 * cost + RESERVATION_MARGIN_S
         self._reserved_until[step.key] = until
         priority = state.terms_of(step.job).priority
         stopped = [run for offer in offers for run in offer.victims]
         for offer in offers:
-            offer.row.kept_priority = priority
-            offer.row.kept_until = until
+            offer.row.reserved_priority = priority
+            offer.row.reserved_until = until
             # Part of a gang's capacity is of no use to it, and other gangs would take such parts in
             # turn. So it is reserved for this gang alone.
-            offer.row.kept_for = step.key if step.spec.gang else ""
+            offer.row.reserved_for = step.key if step.spec.gang else ""
         for run in stopped:
             self._reconcile.stop(run)
         if step.advice is not None:
-            self._advice.want(step, names)
+            self._advice.request(step, names)
         state.logger.info(
             "runs preempted",
             extra={
@@ -271,7 +271,7 @@
     """Remove the victims that need not be stopped to free the wanted slots, the costliest first."""
     for victim in sorted(victims, key=_victim_loss, reverse=True):
         remaining = capacity.plus(victim[1].charge, -1)
-        if charge.times_in(remaining) >= wanted:
+        if charge.copies_in(remaining) >= wanted:
             victims.remove(victim)
             capacity = remaining
     return capacity
--- a/src/sablemount/jobs/systems/proofs.py
+++ b/src/sablemount/jobs/systems/proofs.py
@@ -14,7 +14,7 @@
 from sablemount.jobs.systems.vms import Vms
 from sablemount.jobs.tables import StepRow, TaskRow, VmRow
 
-__all__ = ["Proofs"]
+__all__ = ["Probes"]
 
 FIRST_DELAY_S = 0.1
 """Time from a probe to the next one on the same VM, doubled with each further probe."""
@@ -23,7 +23,7 @@
 """VMs for which a task is sought per round, each among all waiting steps."""
 
 
-class Proofs:
+class Probes:
     """Starts the runs that show whether a VM lists its completions."""
 
     def __init__(
@@ -44,20 +44,22 @@
 
     def run(self) -> None:
         """Start a probe on each unverified VM for which one is due, as far as tasks wait."""
-        rows = [row for row in self._state.unproven.values() if self._is_due(row)]
+        rows = [row for row in self._state.unverified_vms.values() if self._is_due(row)]
         if not rows:
             return
         # The least urgent steps come first, since they lose nothing by a probe. Steps whose tasks
         # may crash their VM come last, since a crash shows nothing.
-        steps = [step for step in reversed(self._placement.in_order()) if self._is_suitable(step)]
-        steps.sort(key=lambda step: step.job.watched)
+        steps = [
+            step for step in reversed(self._placement.steps_by_urgency()) if self._is_suitable(step)
+        ]
+        steps.sort(key=lambda step: step.job.has_crashes)
         for row in rows[:MAX_VMS_PER_ROUND]:
             # A VM for which no task is found lets others have their turn.
-            row.prove_at = self._state.now + FIRST_DELAY_S
+            row.next_probe_at = self._state.now + FIRST_DELAY_S
             self._probe(row, steps)
 
     def _is_due(self, row: VmRow) -> bool:
-        return self._state.now >= row.prove_at and self._vms.provable(row)
+        return self._state.now >= row.next_probe_at and self._vms.can_probe(row)
 
     def _is_suitable(self, step: StepRow) -> bool:
         spec = step.spec
@@ -71,17 +73,19 @@
             task = self._startable_task(step, row)
             if task is None:
                 continue
-            if self._advice.valid(step, row):
+            if self._advice.permits(step, row):
                 self._start(row, step, task)
                 return
             if unadvised is None and self._advice.unknown(step, row):
                 unadvised = step
         if unadvised is not None:
-            self._advice.want(unadvised, [row.name])
+            self._advice.request(unadvised, [row.name])
 
     def _startable_task(self, step: StepRow, row: VmRow) -> TaskRow | None:
         """Return a task of a step that may start on a VM."""
-        if not self._placement.is_candidate(step, row) or not step.spec.charge.fits(row.room):
+        if not self._placement.is_candidate(step, row) or not step.spec.charge.fits(
+            row.free_capacity
+        ):
             return None
         if step.spec.gang and not self._placement.ready(step):
             # A member of the gang probes another VM; several members in one run would count as a
@@ -90,8 +94,8 @@
         return next((task for task in step.tasks if self._placement.startable(task)), None)
 
     def _start(self, row: VmRow, step: StepRow, task: TaskRow) -> None:
-        row.proofs += 1
-        row.prove_at = self._state.now + min(MAX_DELAY_S, FIRST_DELAY_S * 2**row.proofs)
-        extra = {"vm": row.name, "task": task.key, "tries": row.proofs}
+        row.probes += 1
+        row.next_probe_at = self._state.now + min(MAX_DELAY_S, FIRST_DELAY_S * 2**row.probes)
+        extra = {"vm": row.name, "task": task.key, "tries": row.probes}
         self._state.logger.info("probing whether VM lists its completions", extra=extra)
-        self._starts.enter(step, [(task, row)], proof=True)
+        self._starts.create_runs(step, [(task, row)], probe=True)
--- a/src/sablemount/jobs/systems/reconcile.py
+++ b/src/sablemount/jobs/systems/reconcile.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import TypeAlias
 
-from sablemount.jobs.actions import EndReport, Heard, RunReport, StopRun
-from sablemount.jobs.state import NOT_ORDERED, State
+from sablemount.jobs.actions import CompletionReport, RunReport, StopRun, VmReport
+from sablemount.jobs.state import NOT_REQUESTED, State
 from sablemount.jobs.systems.acks import Acks
 from sablemount.jobs.systems.lifecycle import Lifecycle
 from sablemount.jobs.tables import (
@@ -76,51 +76,55 @@
         self._state = state
         self._acks = acks
         self._lifecycle = lifecycle
-        self.on_end: CompletionListener = _ignore_completion
-        self.on_done: SuccessListener = _ignore_success
+        self.on_completion: CompletionListener = _ignore_completion
+        self.on_success: SuccessListener = _ignore_success
         self.on_outcome: Callable[[str], None] = _ignore_outcome
-        self.on_unlisted: Callable[[str, int], None] = _ignore_missing
+        self.on_completion_missing: Callable[[str, int], None] = _ignore_missing
         """Called with a VM that has not listed a completion, and the last number it did list."""
-        self.on_hearing: Callable[[VmRow], None] = _ignore_vm
+        self.on_completions_listed: Callable[[VmRow], None] = _ignore_vm
         """Called with a VM that lists its completions again."""
-        self.on_left: Callable[[RunRow], None] = _ignore_run
+        self.on_run_lost: Callable[[RunRow], None] = _ignore_run
         """Called with a run that has not reached the next incarnation of the VM it was requested
         at."""
 
-    def heard(self, vm_report: Heard) -> bool:
+    def process_report(self, vm_report: VmReport) -> bool:
         """Process a VM's report; return whether it lists new completions."""
         state = self._state
         vm = state.vms.get(vm_report.vm)
-        if vm is None or vm.gone:
+        if vm is None or vm.terminated:
             return False
         if vm_report.clock_ms < vm.clock_ms:
             # Answers on different connections may overtake one another.
             self._log_outdated(vm, vm_report)
             return False
         vm.clock_ms = vm_report.clock_ms
-        vm.clock_at = state.now
-        vm.heard_at = state.now
-        self._acks.heard(vm)
+        vm.clock_read_at = state.now
+        vm.last_report_at = state.now
+        self._acks.report_received(vm)
         # Uncertain runs that the report does not list are not there; those that it lists are known
         # from now on.
-        state.doubts.pop(vm.name, None)
-        if vm.first_heard_at < 0:
-            vm.first_heard_at = state.now
+        state.recorded_suspects.pop(vm.name, None)
+        if vm.first_report_at < 0:
+            vm.first_report_at = state.now
             # From here on no previous leader can extend the VM's leases.
-            vm.lease_end = max(vm.lease_end, state.longest_lease_end())
-        new = [completion for completion in vm_report.ended if completion.number > vm.seen_end]
+            vm.lease_end = max(vm.lease_end, state.latest_lease_end())
+        new = [
+            completion
+            for completion in vm_report.completions
+            if completion.number > vm.last_seen_completion
+        ]
         for completion in new:
-            vm.seen_end = max(vm.seen_end, completion.number)
+            vm.last_seen_completion = max(vm.last_seen_completion, completion.number)
             self._run_completed(vm, completion)
-        if new and vm.deaf:
+        if new and vm.completions_unreliable:
             # It has passed the number up to which it was told to forget completions.
-            vm.deaf = vm.unproven = False
-            state.unproven.pop(vm.name, None)
-            state.freed += 1
-            self.on_hearing(vm)
+            vm.completions_unreliable = vm.unverified = False
+            state.unverified_vms.pop(vm.name, None)
+            state.capacity_version += 1
+            self.on_completions_listed(vm)
         self._process_running(vm, vm_report)
         self._drop_missing(vm, vm_report)
-        if vm.deaf:
+        if vm.completions_unreliable:
             self._stop_all(vm)
         return bool(new)
 
@@ -128,28 +132,28 @@
         """Stop the runs on a VM with unreliable completions, so that they end without a result."""
         for run in list(vm.runs.values()):
             # A stop that overtakes the start request of a probe would keep the probe from running.
-            if run.state is not RunState.STOPPING and (run.listed or not run.proof):
+            if run.state is not RunState.STOPPING and (run.listed or not run.is_probe):
                 self.stop(run)
 
-    def _log_outdated(self, vm: VmRow, vm_report: Heard) -> None:
+    def _log_outdated(self, vm: VmRow, vm_report: VmReport) -> None:
         """Log an answer that is further behind than an overtaken one can be."""
         now = self._state.now
         behind = vm.clock_ms - vm_report.clock_ms
-        if behind < MAX_OVERTAKEN_MS or now - vm.behind_at < LOG_INTERVAL_S:
+        if behind < MAX_OVERTAKEN_MS or now - vm.behind_logged_at < LOG_INTERVAL_S:
             return
-        vm.behind_at = now
+        vm.behind_logged_at = now
         extra = {
             "vm": vm.name,
             "behind_ms": behind,
-            "heard_ago": vm.heard_ago(now),
+            "heard_ago": vm.report_age(now),
             "runs": len(vm_report.running),
-            "ends": len(vm_report.ended),
+            "ends": len(vm_report.completions),
         }
         self._state.logger.warning("VM's clock is behind, answer ignored", extra=extra)
 
     # -- Completions -------------------------------------------------------------------------
 
-    def _run_completed(self, vm: VmRow, completion: EndReport) -> None:
+    def _run_completed(self, vm: VmRow, completion: CompletionReport) -> None:
         run = vm.runs.get((completion.task, completion.run))
         task = self._state.task(completion.task)
         self.on_outcome(completion.outcome)
@@ -166,23 +170,23 @@
         if task is not None and task.state is not TaskState.DONE:
             self._apply_completion(vm, task, run, completion)
         if run is not None:
-            self._state.drop_run(run, completion.outcome)
+            self._state.remove_run(run, completion.outcome)
 
     def _apply_completion(
-        self, vm: VmRow, task: TaskRow, run: RunRow | None, completion: EndReport
+        self, vm: VmRow, task: TaskRow, run: RunRow | None, completion: CompletionReport
     ) -> None:
         task.last_run = max(task.last_run, completion.run)
         self._job_began(task.step.job)
         if completion.saved:
             task.saved = completion.saved
-            self._state.mark(task.step.job)
+            self._state.mark_dirty(task.step.job)
         if completion.outcome == DONE and not task.step.spec.lasting:
-            self.on_end(vm.name, task.step.job.name, False, False)
+            self.on_completion(vm.name, task.step.job.name, False, False)
             if run is not None:
-                self.on_done(vm, task, run)
+                self.on_success(vm, task, run)
             self._run_succeeded(task, completion.run)
         elif completion.outcome == FAILED:
-            self.on_end(vm.name, task.step.job.name, True, self._failed_elsewhere(task, vm))
+            self.on_completion(vm.name, task.step.job.name, True, self._failed_elsewhere(task, vm))
             task.failed_on.add(vm.name)
             task.failed_at = self._state.now
             self._run_failed(task, completion.run)
@@ -199,10 +203,10 @@
             # Its remaining runs are copies, or members whose completions are still on their way.
             for run in list(member.runs):
                 if run.number == number and member is not task:
-                    self._state.note_end(run, DONE)
+                    self._state.keep_completion(run, DONE)
                     self._state.orphans[(run.vm, run.task, run.number)] = run
                 elif run.number != number:
-                    self._state.orphan(run)
+                    self._state.orphan_run(run)
             member.runs.clear()
 
     def _run_failed(self, task: TaskRow, number: int) -> None:
@@ -213,14 +217,14 @@
         # A gang fails as a whole, once, however many of its members report a failure.
         for member in step.tasks if step.spec.gang else [task]:
             member.failed_runs.add(number)
-        self._state.mark(job)
-        if len(task.failed_runs) >= self._lifecycle.attempts(step.spec, job.record.terms):
+        self._state.mark_dirty(job)
+        if len(task.failed_runs) >= self._lifecycle.max_attempts(step.spec, job.record.terms):
             self._state.logger.info("job failed", extra={"job": job.name, "task": task.key})
             self._lifecycle.end(job, JobState.FAILED)
 
     # -- Running tasks -----------------------------------------------------------------------
 
-    def _process_running(self, vm: VmRow, vm_report: Heard) -> None:
+    def _process_running(self, vm: VmRow, vm_report: VmReport) -> None:
         for report in vm_report.running:
             run = vm.runs.get((report.task, report.run))
             if run is None:
@@ -231,20 +235,20 @@
         """Charge a VM for a run started by a previous leader or by a late start request."""
         state = self._state
         task = state.task(report.task)
-        step = state.step_of(report.task)
+        step = state.step_spec_of(report.task)
         charge = vm.info.capacity if step is None else step.charge
         run = RunRow(report.task, report.run, vm.name, charge, state.now, RunState.RUNNING)
-        run.whole = step is None
+        run.charges_whole_vm = step is None
         run.started_at = state.now
         run.percent_at = state.now
-        run.share = None
+        run.speed_percent = None
         is_wanted = task is not None and task.state is TaskState.WAITING
         if task is not None and is_wanted:
             state.add_run(task, run)
             self._job_began(task.step.job)
         else:
             state.charge(run)
-            state.orphan(run)
+            state.orphan_run(run)
         state.run_logger.info(
             "run found",
             extra={"task": run.task, "run": run.number, "vm": vm.name, "kept": is_wanted},
@@ -254,17 +258,17 @@
     def _update(self, vm: VmRow, run: RunRow, report: RunReport) -> None:
         now = self._state.now
         run.listed = True
-        run.left = ""
+        run.previous_vm = ""
         if run.state is RunState.SENT:
             run.state = RunState.RUNNING
             run.started_at = now
             run.percent_at = now
-            run.settle_clock = min(run.settle_clock, vm.clock_ms)
+            run.settle_clock_ms = min(run.settle_clock_ms, vm.clock_ms)
             self._run_began(run)
         if report.percent > run.percent:
             run.percent = report.percent
             run.percent_at = now
-        run.figure = report.figure
+        run.metric = report.metric
         if report.saved:
             self._save_state(run, report.saved)
         if run.state is RunState.STOPPING and now - run.stop_sent_at > STOP_RETRY_S:
@@ -278,24 +282,24 @@
 
     def stop(self, run: RunRow) -> None:
         """Send the stop of a run, which stays charged until its VM shows that it has ended."""
-        if run.state is RunState.NOTING:
-            self._state.drop_run(run, NOT_ORDERED)
+        if run.state is RunState.RECORDING:
+            self._state.remove_run(run, NOT_REQUESTED)
             return
         run.state = RunState.STOPPING
         run.stop_sent_at = self._state.now
         self._state.emit(StopRun(run.vm, run.task, run.number))
 
-    def _drop_missing(self, vm: VmRow, vm_report: Heard) -> None:
+    def _drop_missing(self, vm: VmRow, vm_report: VmReport) -> None:
         """Drop the runs that a VM does not list and that can no longer arrive there."""
-        if len(vm_report.ended) >= MAX_LISTED_COMPLETIONS:
+        if len(vm_report.completions) >= MAX_LISTED_COMPLETIONS:
             return
         listed = {(report.task, report.run) for report in vm_report.running}
         for key, run in list(vm.runs.items()):
-            if key in listed or vm_report.clock_ms <= run.settle_clock:
+            if key in listed or vm_report.clock_ms <= run.settle_clock_ms:
                 continue
             self._log_missing(vm, run)
             self._handle_missing(vm, run)
-            self._state.drop_run(run, NOT_THERE)
+            self._state.remove_run(run, NOT_THERE)
 
     def _log_missing(self, vm: VmRow, run: RunRow) -> None:
         extra = {
@@ -303,8 +307,8 @@
             "run": run.number,
             "vm": vm.name,
             "was_listed": run.listed,
-            "seen_end": vm.seen_end,
-            "acked_end": vm.acked_end,
+            "seen_end": vm.last_seen_completion,
+            "acked_end": vm.last_recorded_completion,
         }
         self._state.run_logger.info("run not there", extra=extra)
 
@@ -314,13 +318,13 @@
             # The VM forgets completions before they are read, because of a call for an earlier
             # incarnation.
             self.on_outcome(NOT_LISTED)
-            self.on_unlisted(vm.name, vm.seen_end)
-        elif run.left:
-            self.on_left(run)
+            self.on_completion_missing(vm.name, vm.last_seen_completion)
+        elif run.previous_vm:
+            self.on_run_lost(run)
 
     # -- Starts ------------------------------------------------------------------------------
 
-    def started(self, vm_name: str, task: str, number: int, clock_ms: float) -> None:
+    def run_started(self, vm_name: str, task: str, number: int, clock_ms: float) -> None:
         """Record a VM's answer that a run has started."""
         vm = self._state.vms.get(vm_name)
         run = None if vm is None else vm.runs.get((task, number))
@@ -329,7 +333,7 @@
         run.state = RunState.RUNNING
         run.started_at = self._state.now
         run.percent_at = self._state.now
-        run.settle_clock = clock_ms
+        run.settle_clock_ms = clock_ms
         self._run_began(run)
 
     def _run_began(self, run: RunRow) -> None:
@@ -341,15 +345,15 @@
         job.begun = True
         if job.state is JobState.PENDING:
             job.state = JobState.RUNNING
-            if job.shown is JobState.PENDING:
-                job.shown = JobState.RUNNING
+            if job.visible_state is JobState.PENDING:
+                job.visible_state = JobState.RUNNING
 
-    def not_started(self, vm_name: str, task: str, number: int) -> None:
+    def run_not_started(self, vm_name: str, task: str, number: int) -> None:
         """Handle a refusal after which a run will certainly not be there."""
         vm = self._state.vms.get(vm_name)
         run = None if vm is None else vm.runs.get((task, number))
         if run is not None and run.state is not RunState.RUNNING:
-            self._state.drop_run(run, NOT_STARTED)
+            self._state.remove_run(run, NOT_STARTED)
 
     def find_partial_gangs(self) -> None:
         """Find gangs of which a previous leader has started only some members.
@@ -357,10 +361,10 @@
         Once every run of a previous leader has been seen, the missing members will not arrive;
         those that run would wait for them until they end alone.
         """
-        if not self._state.former_settled:
+        if not self._state.previous_runs_settled:
             return
-        for job in self._state.live.values():
-            if not job.former:
+        for job in self._state.open_jobs.values():
+            if not job.from_previous_leader:
                 continue
             for step in job.steps.values():
                 if step.spec.gang and 0 < step.waiting < step.open_tasks:
--- a/src/sablemount/jobs/systems/reservation.py
+++ b/src/sablemount/jobs/systems/reservation.py
@@ -38,17 +38,17 @@
     def reserve(self, step: StepRow, rows: list[VmRow]) -> None:
         """Reserve the emptiest of the VMs that a gang may use, since it found no capacity there."""
         charge = step.spec.charge
-        if sum(charge.times_in(row.info.capacity) for row in rows) < step.waiting:
+        if sum(charge.copies_in(row.info.capacity) for row in rows) < step.waiting:
             return
         limit = int(MAX_RESERVED_SHARE * len(self._state.vms))
         limit -= sum(len(names) for _, names in self._reserved.values())
         names: set[str] = set()
         places = 0
-        for row in sorted(rows, key=lambda row: -row.room.cores):
+        for row in sorted(rows, key=lambda row: -row.free_capacity.cores):
             if places >= step.waiting or len(names) >= limit:
                 break
             names.add(row.name)
-            places += max(1, charge.times_in(row.room))
+            places += max(1, charge.copies_in(row.free_capacity))
         if names:
             self._reserved[step.key] = (self._state.terms_of(step.job).priority, names)
 
--- a/src/sablemount/jobs/systems/speeds.py
+++ b/src/sablemount/jobs/systems/speeds.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from sablemount.jobs.state import State
-from sablemount.jobs.systems.every import Every
+from sablemount.jobs.systems.every import IntervalTimer
 from sablemount.jobs.tables import RunRow, StepRow, TaskRow, VmRow
 
 __all__ = ["Speeds"]
@@ -112,7 +112,7 @@
         """How much longer a queue's tasks take than their callers estimate, at the usual speed."""
         self._durations: dict[str, _StepDurations] = {}
         """By step, while it has open tasks."""
-        self._timer = Every(INTERVAL_S)
+        self._timer = IntervalTimer(INTERVAL_S)
         self.ratio = 1.0
         """How much faster the fast VMs are than the slow ones."""
         self.error = 0.0
@@ -124,10 +124,10 @@
 
     # -- Learning ----------------------------------------------------------------------------
 
-    def done(self, vm: VmRow, task: TaskRow, run: RunRow) -> None:
+    def record_completion(self, vm: VmRow, task: TaskRow, run: RunRow) -> None:
         """Record the duration of a run that was completed successfully."""
         step = task.step
-        duration = run.worked(self._state.now)
+        duration = run.seconds_at_work(self._state.now)
         expected = step.spec.expected_ms / MS_PER_S
         # A gang takes as long as its slowest member, and a run that resumes from saved state has
         # less to do.
@@ -187,10 +187,10 @@
         self.ratio = math.exp(spread)
         if spread <= UNEVEN_THRESHOLD:
             self._steady_at = state.now + STEADY_S
-        uneven = spread > EVEN_THRESHOLD if state.uneven else state.now >= self._steady_at
-        if uneven != state.uneven:
-            state.uneven = uneven
-            state.freed += 1
+        uneven = spread > EVEN_THRESHOLD if state.speeds_uneven else state.now >= self._steady_at
+        if uneven != state.speeds_uneven:
+            state.speeds_uneven = uneven
+            state.capacity_version += 1
             extra = {"uneven": uneven, "ratio": round(self.ratio, 2), "known": len(known)}
             state.logger.info("VM speed spread changed", extra=extra)
         if uneven:
@@ -202,10 +202,10 @@
         A later leader then uses them at once and need not learn them again.
         """
         for row in self._state.vms.values():
-            speed = self._trusted.get(_key(row), row.noted_speed)
-            min_change = MIN_RECORDED_CHANGE if row.noted_speed else MIN_FIRST_RECORDED
-            if abs(speed - row.noted_speed) > min_change:
-                row.noted_speed = round(speed, 2)
+            speed = self._trusted.get(_key(row), row.recorded_speed)
+            min_change = MIN_RECORDED_CHANGE if row.recorded_speed else MIN_FIRST_RECORDED
+            if abs(speed - row.recorded_speed) > min_change:
+                row.recorded_speed = round(speed, 2)
                 self._write_record(row)
 
     def restore(self, row: VmRow) -> None:
@@ -213,14 +213,14 @@
 
         A previous leader recorded it because VMs were uneven then.
         """
-        if row.noted_speed:
+        if row.recorded_speed:
             now = self._state.now
             self._steady_at = now
-            self._estimates[_key(row)] = _Estimate(row.noted_speed, RESTORED_WEIGHT, now)
+            self._estimates[_key(row)] = _Estimate(row.recorded_speed, RESTORED_WEIGHT, now)
 
     def _has_open_tasks(self, key: str) -> bool:
         job, repetition, number = key.split(".")
-        row = self._state.live.get(job)
+        row = self._state.open_jobs.get(job)
         step = None if row is None else row.steps.get((int(repetition), int(number)))
         return step is not None and step.open_tasks > 0
 
@@ -233,17 +233,17 @@
 
         Any speed will do where VMs are even, and where it is too late on all of them.
         """
-        if not self._state.uneven or step.spec.lasting:
+        if not self._state.speeds_uneven or step.spec.lasting:
             return None
         left = step.job.objective_at - self._state.now
-        if left < MIN_TIME_LEFT_S or step.chain <= 0:
+        if left < MIN_TIME_LEFT_S or step.critical_path_s <= 0:
             return None
         bias = self._bias.get(step.job.record.terms.name, 0.0)
-        return math.log(step.chain / left) + bias + SLOWDOWN_MARGIN
+        return math.log(step.critical_path_s / left) + bias + SLOWDOWN_MARGIN
 
     def costs(self, required_speed: float | None, rows: list[VmRow]) -> dict[str, float]:
         """Return the cost of each VM, by name, for a step that requires some speed."""
-        if not self._state.uneven:
+        if not self._state.speeds_uneven:
             return {row.name: 0.0 for row in rows}
         return {row.name: _cost(required_speed, self.of(row)) for row in rows}
 
--- a/src/sablemount/jobs/systems/starts.py
+++ b/src/sablemount/jobs/systems/starts.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from sablemount.jobs.actions import LookAt, StartRun
+from sablemount.jobs.actions import PollVm, StartRun
 from sablemount.jobs.journal import Journal
-from sablemount.jobs.state import NOT_ORDERED, State
+from sablemount.jobs.state import NOT_REQUESTED, State
 from sablemount.jobs.systems.advice import Advice
 from sablemount.jobs.systems.choice import Assignment
 from sablemount.jobs.systems.vms import Vms
@@ -60,13 +60,13 @@
     @property
     def is_recorded(self) -> bool:
         """Return whether the store has recorded all its runs."""
-        return all(start.run.noted for start in self.starts)
+        return all(start.run.recorded for start in self.starts)
 
     def has_reported(self) -> bool:
         """Return whether all its VMs have reported since they were polled."""
         polled_at = self.polled_at
         return polled_at is not None and all(
-            start.row.heard_at >= polled_at for start in self.starts
+            start.row.last_report_at >= polled_at for start in self.starts
         )
 
 
@@ -83,41 +83,41 @@
         self._vms = vms
         self._advice = advice
         self._pending: list[_PendingStart] = []
-        self.on_noted: Callable[[float], None] = _ignore
+        self.on_recorded: Callable[[float], None] = _ignore
         """Called with the seconds for which a start request has waited for the store."""
 
     # -- Creation ----------------------------------------------------------------------------
 
-    def enter(self, step: StepRow, chosen: Assignment, proof: bool = False) -> None:
+    def create_runs(self, step: StepRow, chosen: Assignment, probe: bool = False) -> None:
         """Create runs that belong together: those of a gang, or a single one.
 
         With ``probe``, the run shows whether its VM lists completions.
         """
         tasks = [task for task, _ in chosen]
-        number = self._state.next_run(tasks)
+        number = self._state.next_run_number(tasks)
         # The saved state of any member serves the whole gang, and all resume from the same.
         saved = max((task.saved for task in tasks), key=len, default="")
-        record_first = any(task.noted_first for task in tasks)
+        record_first = any(task.must_record_first for task in tasks)
         starts = []
         for task, row in chosen:
             run = RunRow(task.key, number, row.name, step.spec.charge, self._state.now)
             run.resumed = bool(saved)
-            run.proof = proof
+            run.is_probe = probe
             if record_first:
-                run.state = RunState.NOTING
-                run.settle_clock = inf
+                run.state = RunState.RECORDING
+                run.settle_clock_ms = inf
             self._state.add_run(task, run)
             starts.append(_Start(run, row, saved))
         for start in starts:
-            self._journal.note_runs(start.row)
+            self._journal.update_vm_record(start.row)
         if record_first:
-            self._journal.note_first([start.run for start in starts])
+            self._journal.record_runs([start.run for start in starts])
             suspected = any(task.crashes for task in tasks)
             self._pending.append(_PendingStart(step, starts, self._state.now, suspected))
         else:
             self._request(step, starts)
 
-    def waiting(self) -> bool:
+    def has_pending(self) -> bool:
         """Return whether a start request waits for the store."""
         return bool(self._pending)
 
@@ -130,7 +130,7 @@
             if self._must_wait(group):
                 self._pending.append(group)
             elif self._may_be_requested(group):
-                self.on_noted(self._state.now - group.since)
+                self.on_recorded(self._state.now - group.since)
                 self._request(group.step, group.starts)
             else:
                 self._abandon(group)
@@ -138,13 +138,13 @@
     def _must_wait(self, group: _PendingStart) -> bool:
         """Return whether a start request still waits for the store or for a VM's report."""
         if not group.is_recorded:
-            return self._state.noting
+            return self._state.store_answers
         if not group.suspected or group.has_reported():
             return False
         if group.polled_at is None:
             group.polled_at = self._state.now
             for name in sorted({start.row.name for start in group.starts}):
-                self._state.emit(LookAt(name))
+                self._state.emit(PollVm(name))
         return self._state.now - group.polled_at < REPORT_TIMEOUT_S
 
     def _may_be_requested(self, group: _PendingStart) -> bool:
@@ -157,19 +157,19 @@
     def _avoid_silent(self, group: _PendingStart) -> None:
         until = self._state.now + SILENT_PAUSE_S
         for start in group.starts:
-            if group.polled_at is not None and start.row.heard_at < group.polled_at:
+            if group.polled_at is not None and start.row.last_report_at < group.polled_at:
                 start.row.avoid_until = max(start.row.avoid_until, until)
 
     def _may_start(self, step: StepRow, start: _Start) -> bool:
         run, row = start.run, start.row
         is_current = row.runs.get((run.task, run.number)) is run
-        may_use_vm = row.trial in ("", step.job.name)
+        may_use_vm = row.isolated_job in ("", step.job.name)
         return (
             is_current
-            and run.noted
+            and run.recorded
             and may_use_vm
-            and (run.proof or self._vms.usable(row))
-            and self._advice.valid(step, row)
+            and (run.is_probe or self._vms.usable(row))
+            and self._advice.permits(step, row)
         )
 
     def _abandon(self, group: _PendingStart) -> None:
@@ -183,21 +183,23 @@
         }
         self._state.logger.info("start abandoned before its request", extra=extra)
         for start in group.starts:
-            if start.run.state is RunState.NOTING:
-                self._state.drop_run(start.run, NOT_ORDERED)
+            if start.run.state is RunState.RECORDING:
+                self._state.remove_run(start.run, NOT_REQUESTED)
                 # The VM's record no longer lists this run among those that a crash would count for.
-                self._journal.note_runs(start.row)
+                self._journal.update_vm_record(start.row)
 
     def _request(self, step: StepRow, starts: list[_Start]) -> None:
         state = self._state
         for start in starts:
             run, row = start.run, start.row
-            valid_s = PROBE_VALID_S if run.proof else state.settings.start_valid
-            valid_s = min(valid_s, self._vms.room_known_for(row))
+            valid_s = PROBE_VALID_S if run.is_probe else state.settings.start_validity_s
+            valid_s = min(valid_s, self._vms.capacity_known_for(row))
             run.state = RunState.SENT
             run.sent_at = state.now
-            run.settle_clock = row.clock_after(state.now) + (valid_s + CLOCK_MARGIN_S) * MS_PER_S
-            ticket = "" if step.advice is None else step.advice.good[row.name].text
+            run.settle_clock_ms = (
+                row.min_clock_ms(state.now) + (valid_s + CLOCK_MARGIN_S) * MS_PER_S
+            )
+            ticket = "" if step.advice is None else step.advice.tickets[row.name].text
             payload = step.job.record.spec.payload
             not_after = state.now + valid_s
             state.emit(
--- a/src/sablemount/jobs/systems/trials.py
+++ b/src/sablemount/jobs/systems/trials.py
@@ -6,11 +6,11 @@
 no other likely cause.
 """
 
-from sablemount.jobs.model import job_of
+from sablemount.jobs.model import job_name_of
 from sablemount.jobs.state import State
 from sablemount.jobs.tables import RunRow, StepRow, TaskRow, TaskState, VmRow
 
-__all__ = ["Trials"]
+__all__ = ["Isolation"]
 
 CLEARED_AFTER_S = 0.5
 """Seconds of work after which a run is not a likely cause of a crash: known cases took 0.01 s."""
@@ -20,14 +20,14 @@
 """Seconds for which a VM that has restarted is not the first choice for isolating a task."""
 START_TIMEOUT_S = 1.5
 """Seconds for which a VM stays isolated for a task that does not start."""
-TRIAL_TIME = 10.0
+ISOLATION_TIME_S = 10.0
 """Seconds of work after which an isolation ends: a long-running task would keep its VM forever."""
-PATIENCE = 2.2
+ISOLATION_WAIT_S = 2.2
 """Seconds of waiting after which a task starts without isolation: below the 3 s for which nothing
 of a job may run while there is capacity for it."""
 
 
-class Trials:
+class Isolation:
     """Isolates VMs for suspected tasks, and decides which tasks may start where."""
 
     def __init__(self, state: State) -> None:
@@ -36,15 +36,15 @@
         """When each isolated VM was taken."""
         self._max_isolated = 1
 
-    def begin(self, usable: list[VmRow]) -> None:
+    def begin_round(self, usable: list[VmRow]) -> None:
         """Begin a placement round: isolate VMs of running tasks, and end outdated isolations."""
         state = self._state
-        if not state.suspected and not self._isolated_since:
+        if not state.suspected_jobs and not self._isolated_since:
             return
         self._max_isolated = max(1, int(MAX_ISOLATED_SHARE * len(usable)))
-        for name in [name for name in state.suspected if name not in state.live]:
-            del state.suspected[name]
-        for job in state.suspected.values():
+        for name in [name for name in state.suspected_jobs if name not in state.open_jobs]:
+            del state.suspected_jobs[name]
+        for job in state.suspected_jobs.values():
             for step in job.steps.values():
                 self._isolate_running(step)
         for name in [name for name in self._isolated_since if not self._is_needed(name)]:
@@ -52,26 +52,26 @@
 
     def _isolate_running(self, step: StepRow) -> None:
         for task in step.tasks:
-            for run in task.runs if task.on_trial else ():
+            for run in task.runs if task.needs_isolation else ():
                 row = self._state.vms.get(run.vm)
-                if row is not None and not row.trial and _within_isolation_time(run, row):
+                if row is not None and not row.isolated_job and _within_isolation_time(run, row):
                     self._isolate(row, step.job.name)
 
     def _is_needed(self, name: str) -> bool:
         row = self._state.vms.get(name)
-        job = None if row is None else self._state.live.get(row.trial)
+        job = None if row is None else self._state.open_jobs.get(row.isolated_job)
         if row is None or job is None:
             return False
         for run in row.runs.values():
             task = self._state.task(run.task)
             if task is None or task.step.job is not job:
                 continue
-            if task.on_trial and _within_isolation_time(run, row):
+            if task.needs_isolation and _within_isolation_time(run, row):
                 return True
         return self._state.now - self._isolated_since[name] < START_TIMEOUT_S
 
     def _isolate(self, row: VmRow, job: str) -> None:
-        row.trial = job
+        row.isolated_job = job
         self._isolated_since[row.name] = self._state.now
         self._state.logger.info("VM isolated", extra={"vm": row.name, "job": job})
 
@@ -79,22 +79,22 @@
         del self._isolated_since[name]
         row = self._state.vms.get(name)
         if row is not None:
-            row.trial = ""
-            self._state.freed += 1
+            row.isolated_job = ""
+            self._state.capacity_version += 1
 
     # -- Selection ---------------------------------------------------------------------------
 
-    def prepare(self, step: StepRow, rows: list[VmRow]) -> None:
+    def isolate_for(self, step: StepRow, rows: list[VmRow]) -> None:
         """Isolate VMs, among those a step may use, for its tasks that wait for isolation."""
-        if step.job.name not in self._state.suspected:
+        if step.job.name not in self._state.suspected_jobs:
             return
         waiting = sum(1 for task in step.tasks if self._waits_for_isolation(task))
         if not waiting:
             return
         wanted = waiting if step.spec.gang else 1
         job = step.job.name
-        available = sum(self._capacity_for(step, row) for row in rows if row.trial == job)
-        candidates = [row for row in rows if not row.trial and self._can_isolate(step, row)]
+        available = sum(self._capacity_for(step, row) for row in rows if row.isolated_job == job)
+        candidates = [row for row in rows if not row.isolated_job and self._can_isolate(step, row)]
         candidates.sort(key=lambda row: self._preference(step, row))
         for row in candidates:
             if available >= wanted or len(self._isolated_since) >= self._max_isolated:
@@ -104,16 +104,21 @@
 
     def _preference(self, step: StepRow, row: VmRow) -> tuple[bool, bool, int, int]:
         """Return a sort key: VMs that have just restarted come late, as they may do so again."""
-        restarted = self._state.now - row.follows_at < RECENT_RESTART_S
+        restarted = self._state.now - row.follows_crash_at < RECENT_RESTART_S
         may_crash_again = restarted or any(task.crashed_before(row) for task in step.tasks)
-        return (not self._capacity_for(step, row), may_crash_again, len(row.runs), -row.room.cores)
+        return (
+            not self._capacity_for(step, row),
+            may_crash_again,
+            len(row.runs),
+            -row.free_capacity.cores,
+        )
 
     def _waits_for_isolation(self, task: TaskRow) -> bool:
-        return task.on_trial and self._is_waiting(task)
+        return task.needs_isolation and self._is_waiting(task)
 
     def _is_waiting(self, task: TaskRow) -> bool:
-        since = max(task.step.requeued_at, self._state.settled_at)
-        return task.state is TaskState.WAITING and self._state.now - since < PATIENCE
+        since = max(task.step.requeued_at, self._state.previous_runs_settled_at)
+        return task.state is TaskState.WAITING and self._state.now - since < ISOLATION_WAIT_S
 
     def _can_isolate(self, step: StepRow, row: VmRow) -> bool:
         fits = step.spec.charge.fits(row.info.capacity)
@@ -121,7 +126,7 @@
 
     @staticmethod
     def _capacity_for(step: StepRow, row: VmRow) -> int:
-        found = step.spec.charge.times_in(row.room)
+        found = step.spec.charge.copies_in(row.free_capacity)
         return min(found, step.spec.spread) if step.spec.spread else found
 
     # -- Decisions ---------------------------------------------------------------------------
@@ -133,10 +138,14 @@
         job = task.step.job.name
         recent = [run for run in row.runs.values() if not _is_cleared(run, row)]
         if self._waits_for_isolation(task):
-            return row.trial == job and not any(job_of(run.task) != job for run in recent)
+            return row.isolated_job == job and not any(
+                job_name_of(run.task) != job for run in recent
+            )
         return not any(self._is_suspected(run, job) for run in recent)
 
-    def elsewhere(self, task: TaskRow, rows: list[VmRow], found: list[VmRow]) -> list[VmRow]:
+    def prefer_unaffected(
+        self, task: TaskRow, rows: list[VmRow], found: list[VmRow]
+    ) -> list[VmRow]:
         """Return those of the VMs found of which no incarnation has crashed under a task.
 
         A VM that crashes repeatedly would look like a task that crashes VMs. If all VMs of the task
@@ -150,16 +159,16 @@
 
     def _is_suspected(self, run: RunRow, job: str) -> bool:
         """Return whether a run belongs to a task of another job under which a VM has crashed."""
-        if job_of(run.task) == job:
+        if job_name_of(run.task) == job:
             return False
         task = self._state.task(run.task)
         return task is not None and bool(task.crashes)
 
 
 def _within_isolation_time(run: RunRow, row: VmRow) -> bool:
-    return run.worked(row.heard_at) < TRIAL_TIME
+    return run.seconds_at_work(row.last_report_at) < ISOLATION_TIME_S
 
 
 def _is_cleared(run: RunRow, row: VmRow) -> bool:
     """Return whether a run had been at work for a while at the VM's last report."""
-    return run.worked(row.heard_at) > CLEARED_AFTER_S
+    return run.seconds_at_work(row.last_report_at) > CLEARED_AFTER_S
--- a/src/sablemount/jobs/systems/urgency.py
+++ b/src/sablemount/jobs/systems/urgency.py
@@ -22,11 +22,11 @@
 
     def waited(self, step: StepRow) -> float:
         """Return for how many seconds a step has waited for capacity."""
-        return self._state.now - step.turn_at
+        return self._state.now - step.ready_at
 
     def slack(self, step: StepRow) -> float:
         """Return the slack that a step had when it became ready."""
-        return step.job.objective_at - step.turn_at - step.chain
+        return step.job.objective_at - step.ready_at - step.critical_path_s
 
     def preemption_time(self, step: StepRow) -> float:
         """Return the seconds from a decision to preempt until a step can start."""
@@ -34,7 +34,7 @@
         ticket_time = (
             0.0 if terms is None else (terms.decide_ms + terms.each_ms * step.waiting) / MS_PER_S
         )
-        return self._state.settings.stop_time + ticket_time + ROUND_TIME_S
+        return self._state.settings.stop_time_s + ticket_time + ROUND_TIME_S
 
     def spare(self, step: StepRow) -> float:
         """Return the slack that a step had beyond the time that it takes to preempt runs for it."""
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -7,17 +7,17 @@
 import enum
 from dataclasses import dataclass, field
 
-from sablemount.jobs.model import LIFE_SEPARATOR, Shape, StepSpec, VmInfo, step_key, task_key
+from sablemount.jobs.model import INCARNATION_SEPARATOR, Shape, StepSpec, VmInfo, step_key, task_key
 from sablemount.jobs.records import JobRecord
 
 __all__ = [
-    "CLEAR",
-    "MAX_RUN_ENDS",
+    "MAX_CRASH_WEIGHT",
+    "MAX_KEPT_COMPLETIONS",
     "NEVER",
     "AdviceRow",
     "JobRow",
     "JobState",
-    "RunEnd",
+    "RunCompletion",
     "RunRow",
     "RunState",
     "StepRow",
@@ -28,15 +28,15 @@
 ]
 
 NEVER = -1e9
-MAX_RUN_ENDS = 400
+MAX_KEPT_COMPLETIONS = 400
 """Completed runs kept per job until its end is logged; a job has at most three runs per task unless
 it is long-running."""
 ISOLATE_AFTER_CRASHES = 2
 """Crashes under a task after which it runs isolated from other jobs."""
-CLEAR = 3.0
+MAX_CRASH_WEIGHT = 3.0
 """Largest evidence weight of one crash against a task, as the logarithm of odds: another cause can
 never be excluded."""
-SLOW_CLOCK = 0.98
+MIN_CLOCK_RATE = 0.98
 """Lowest rate of a VM's clock relative to true time."""
 
 
@@ -66,7 +66,7 @@
 class RunState(enum.Enum):
     """State of a run, as far as the leader knows it."""
 
-    NOTING = "noting"
+    RECORDING = "noting"
     """The run is being recorded. It is requested only afterwards: otherwise it would leave no trace
     if the leader ended."""
     SENT = "sent"
@@ -85,18 +85,18 @@
     charge: Shape
     sent_at: float
     state: RunState = RunState.SENT
-    noted: bool = False
+    recorded: bool = False
     """Whether the store holds everything that must be recorded before the start request."""
-    proof: bool = False
+    is_probe: bool = False
     """Whether the run is a probe, which shows whether its VM lists completions and ends before it
     has done any work."""
-    whole: bool = False
+    charges_whole_vm: bool = False
     """Whether the whole VM is charged for the run, because its job is no longer known."""
     organisation: str = ""
     """Organisation that owns the run; empty if unknown."""
-    counted: Shape = Shape()
+    cap_charge: Shape = Shape()
     """What the run counts against its organisation's cap."""
-    settle_clock: float = 0.0
+    settle_clock_ms: float = 0.0
     """VM clock in ms: a run that a report with a later clock does not list will never exist there.
     """
     started_at: float = 0.0
@@ -105,41 +105,41 @@
     """Whether the VM has listed the run in a report."""
     resumed: bool = False
     """Whether the run continues from state that an earlier run saved."""
-    left: str = ""
+    previous_vm: str = ""
     """Incarnation with which the run may have ended, until it is known whether the run reached the
     next incarnation."""
     percent: float = 0.0
     percent_at: float = 0.0
     """When the percentage last rose."""
-    figure: float = 0.0
+    metric: float = 0.0
     """See ``RunReport``."""
-    share: int | None = 100
+    speed_percent: int | None = 100
     """Percentage of full speed last granted to the run; ``None`` if unknown."""
     saved: str = ""
-    mark_at: float = NEVER
-    mark_percent: float = 0.0
+    progress_sampled_at: float = NEVER
+    progress_sampled_percent: float = 0.0
     """When the progress rate was last measured, and the progress at that time."""
-    pace: float | None = None
+    progress_rate: float | None = None
     """Last measured progress rate, as the share of the work done per second."""
-    best_pace: float = 0.0
-    told: bool = False
+    best_progress_rate: float = 0.0
+    completion_kept: bool = False
     """Whether the completion is already kept for the log line of its job's end."""
 
-    def worked(self, until: float) -> float:
+    def seconds_at_work(self, until: float) -> float:
         """Return for how many seconds the run is known to have worked up to a local time."""
         return until - self.started_at if self.started_at > 0 else 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class RunEnd:
+class RunCompletion:
     """How a run ended, kept until its job's end is logged; times are local seconds."""
 
     task: str
     number: int
     vm: str
-    began: float
-    ended: float
-    how: str
+    started_at: float
+    ended_at: float
+    outcome: str
 
 
 @dataclass(slots=True, eq=False)
@@ -161,31 +161,31 @@
     """When the task last failed."""
     crashes: list[str] = field(default_factory=list)
     """VMs that crashed while the task ran there."""
-    weights: dict[str, float] = field(default_factory=dict)
+    crash_weights: dict[str, float] = field(default_factory=dict)
     """Evidence weight of a crash against the task, where it is below the maximum; see
     ``evidence.py``."""
-    lost: bool = False
+    run_lost: bool = False
     """Whether a run of the task was lost with its VM, which the task may have crashed."""
 
     @property
-    def on_trial(self) -> bool:
+    def needs_isolation(self) -> bool:
         """Return whether so many VMs crashed under the task that it must run isolated."""
         return len(self.crashes) >= ISOLATE_AFTER_CRASHES
 
     def crashed_before(self, vm: "VmRow") -> bool:
         """Return whether an earlier incarnation of a VM crashed while the task ran there."""
-        return self.crashed_in(vm.info.entry, vm.name)
+        return self.crashed_in(vm.info.entry_key, vm.name)
 
-    def crashed_in(self, entry: str, but: str) -> bool:
+    def crashed_in(self, entry: str, excluded_vm: str) -> bool:
         """Return whether an entry's incarnation except ``excluded_vm`` crashed under the task."""
-        prefix = entry + LIFE_SEPARATOR
-        return any(name.startswith(prefix) and name != but for name in self.crashes)
+        prefix = entry + INCARNATION_SEPARATOR
+        return any(name.startswith(prefix) and name != excluded_vm for name in self.crashes)
 
-    def weight(self, vm: str) -> float:
+    def crash_weight(self, vm: str) -> float:
         """Return the evidence weight of the crash of a VM's incarnation against the task."""
-        return self.weights.get(vm, CLEAR)
+        return self.crash_weights.get(vm, MAX_CRASH_WEIGHT)
 
-    def evidence(self, but: str = "") -> float:
+    def evidence(self, excluded_vm: str = "") -> float:
         """Return the total evidence weight of the crashes under the task, except ``excluded_vm``'s.
 
         Of the crashes of one VM only the one with the largest weight counts, since a VM that
@@ -193,20 +193,20 @@
         """
         largest_weights: dict[str, float] = {}
         for vm in self.crashes:
-            if vm != but:
-                entry = vm.partition(LIFE_SEPARATOR)[0]
-                largest_weights[entry] = max(largest_weights.get(entry, 0.0), self.weight(vm))
+            if vm != excluded_vm:
+                entry = vm.partition(INCARNATION_SEPARATOR)[0]
+                largest_weights[entry] = max(largest_weights.get(entry, 0.0), self.crash_weight(vm))
         return sum(largest_weights.values())
 
     @property
-    def noted_first(self) -> bool:
+    def must_record_first(self) -> bool:
         """Return whether the next run must be recorded before it is requested.
 
         That is so if the task may have been started before. A crash is counted by the leader that
         requested the start, or by a later leader that finds the run recorded. Only the first start
         of a task may go unrecorded, so that at most one crash remains uncounted.
         """
-        return self.lost or bool(self.crashes) or self.step.job.former
+        return self.run_lost or bool(self.crashes) or self.step.job.from_previous_leader
 
 
 @dataclass(slots=True)
@@ -221,20 +221,20 @@
 class AdviceRow:
     """What the advice service has said about which VMs may run a step."""
 
-    good: dict[str, Ticket] = field(default_factory=dict)
-    bad: set[str] = field(default_factory=set)
-    asking: int = 0
+    tickets: dict[str, Ticket] = field(default_factory=dict)
+    denied_vms: set[str] = field(default_factory=set)
+    calls_in_flight: int = 0
     """Calls in flight."""
-    asked_at: float = NEVER
-    asked_for: float = 0.0
+    waiting_since: float = NEVER
+    waited_s: float = 0.0
     """Seconds spent waiting for answers so far."""
     failures: int = 0
-    known_at: int = -1
+    known_at_vms_version: int = -1
     """Version of the VMs at which the answer for each of them was known."""
 
-    def asked(self, now: float) -> float:
+    def total_wait_s(self, now: float) -> float:
         """Return the seconds spent waiting for answers, including the calls in flight."""
-        return self.asked_for + (now - self.asked_at if self.asking else 0.0)
+        return self.waited_s + (now - self.waiting_since if self.calls_in_flight else 0.0)
 
 
 @dataclass(slots=True, eq=False)
@@ -245,7 +245,7 @@
     repetition: int
     number: int
     spec: StepSpec
-    chain: float = 0.0
+    critical_path_s: float = 0.0
     """Expected seconds from the step's start to its job's end."""
     tasks: list[TaskRow] = field(default_factory=list)
     open_tasks: int = 0
@@ -254,17 +254,17 @@
     """Number of tasks that wait for a start."""
     opened_at: float = NEVER
     advice: AdviceRow | None = None
-    booked: dict[str, int] = field(default_factory=dict)
+    reserved: dict[str, int] = field(default_factory=dict)
     """Number of tasks by VM for which capacity is reserved while tickets are requested."""
-    told_at: float = NEVER
+    wait_logged_at: float = NEVER
     """When it was last logged that the step waits."""
     capped_since: float | None = None
     """Since when the organisation's cap keeps some of the tasks waiting."""
-    capped_for: float = 0.0
+    capped_s: float = 0.0
     """Seconds for which the cap kept tasks waiting in earlier periods."""
     requeued_at: float = NEVER
     """When one of the tasks last returned to waiting for a start."""
-    tried_at_freed: int = -1
+    tried_at_capacity_version: int = -1
     """Capacity version at which placement of the step was last tried."""
 
     @property
@@ -273,21 +273,21 @@
         return step_key(self.job.name, self.repetition, self.number)
 
     @property
-    def turn_at(self) -> float:
+    def ready_at(self) -> float:
         """Return since when the step could have been placed."""
         return max(self.opened_at, self.job.accepted_at)
 
-    def note_cap(self, binds: bool, now: float) -> None:
+    def update_capped(self, binds: bool, now: float) -> None:
         """Record whether the organisation's cap keeps some of the tasks waiting."""
         if binds and self.capped_since is None:
             self.capped_since = now
         elif not binds and self.capped_since is not None:
-            self.capped_for += now - self.capped_since
+            self.capped_s += now - self.capped_since
             self.capped_since = None
 
-    def capped(self, now: float) -> float:
+    def total_capped_s(self, now: float) -> float:
         """Return for how many seconds the cap has kept tasks waiting so far."""
-        return self.capped_for + (0.0 if self.capped_since is None else now - self.capped_since)
+        return self.capped_s + (0.0 if self.capped_since is None else now - self.capped_since)
 
     def make_tasks(self) -> None:
         """Create the tasks, all of them waiting."""
@@ -311,22 +311,22 @@
     state: JobState = JobState.PENDING
     durable: bool = False
     """Whether the acceptance is in the store."""
-    shown: JobState = JobState.PENDING
+    visible_state: JobState = JobState.PENDING
     """State that callers may see; a final one only once it is in the store."""
     steps: dict[tuple[int, int], StepRow] = field(default_factory=dict)
     open_steps: int = 0
     next_repetition: int = 0
     begun: bool = False
-    former: bool = False
+    from_previous_leader: bool = False
     """Whether the job was accepted by a previous leader, so that runs of it may not have been seen
     yet."""
     ended_ms: float = 0.0
     objective_at: float = 0.0
     """Time up to which its completion earns full credit."""
-    run_ends: list[RunEnd] = field(default_factory=list)
-    more_runs: int = 0
+    run_completions: list[RunCompletion] = field(default_factory=list)
+    omitted_runs: int = 0
     """Number of completed runs that were not kept."""
-    watched: bool = False
+    has_crashes: bool = False
     """Whether VMs have crashed under its tasks."""
 
     @property
@@ -352,105 +352,105 @@
     """When its entry was found missing; ``None`` while it is present or no list has been read."""
     revision: int = 0
     """Revision of the newest description that the VM has published of itself."""
-    told_at: float = NEVER
+    described_at: float = NEVER
     """When a description with a newer revision arrived."""
-    room: Shape = Shape()
+    free_capacity: Shape = Shape()
     """Its capacity less what runs are charged and what is reserved for steps."""
     runs: dict[tuple[str, int], RunRow] = field(default_factory=dict)
-    heard_at: float = NEVER
-    first_heard_at: float = NEVER
-    refused_since: float = 2 * NEVER
+    last_report_at: float = NEVER
+    first_report_at: float = NEVER
+    connections_refused_since: float = 2 * NEVER
     """Since when nothing listens at its address; earlier than its last report if something does."""
     clock_ms: float = 0.0
-    clock_at: float = NEVER
+    clock_read_at: float = NEVER
     """When the answer with ``clock_ms`` arrived."""
-    behind_at: float = NEVER
+    behind_logged_at: float = NEVER
     """When an answer with a clock far behind was last logged."""
     fence: int = 0
     """Fence of its calls, among those of one leader; it rises with each incarnation."""
-    awaited: bool = False
+    entry_pending: bool = False
     """Whether the VM is known from its answers only, and its entry has not been read yet."""
-    deaf: bool = False
+    completions_unreliable: bool = False
     """Whether completions there may go unlisted, so that nothing may be started."""
-    unproven: bool = False
+    unverified: bool = False
     """Whether that is only suspected, so that a probe may show the VM to list its completions; see
     ``proofs.py``."""
-    proofs: int = 0
+    probes: int = 0
     """Number of probes started on the VM."""
-    prove_at: float = NEVER
+    next_probe_at: float = NEVER
     """Earliest time of the next probe."""
-    noted_speed: float = 0.0
+    recorded_speed: float = 0.0
     """Its speed as recorded, or as about to be recorded."""
-    follows_at: float = NEVER
+    follows_crash_at: float = NEVER
     """When it was found to follow an incarnation under the same id whose end was not planned."""
-    seen_end: int = 0
+    last_seen_completion: int = 0
     """Last completion that the VM has listed."""
-    noted_end: int = 0
+    last_batched_completion: int = 0
     """Last completion that was put into a batch."""
-    acked_end: int = 0
+    last_recorded_completion: int = 0
     """Last completion that the store holds, so that it may be acknowledged."""
-    told_end: int = 0
+    last_acknowledged_completion: int = 0
     """Last completion whose acknowledgement the VM is known to have received."""
-    ordering: int = 0
+    starts_in_flight: int = 0
     """Number of start requests in flight."""
-    unanswered_at: float = NEVER
+    start_timed_out_at: float = NEVER
     """When a start request last timed out without an answer."""
-    telling: bool = False
+    ack_in_flight: bool = False
     """Whether an acknowledgement of completions is in flight, so that nothing is started meanwhile.
     """
-    held_up: bool = False
+    delayed_by_ack: bool = False
     """Whether an acknowledgement in flight or overdue has delayed a start there."""
-    untold_since: float | None = None
+    unacknowledged_since: float | None = None
     """Since when there are recorded completions that were not acknowledged to the VM."""
     leaves_at: float | None = None
     """Time until which a draining incarnation lasts at least, if it has announced one."""
     lease_end: float = NEVER
     """Local time after which nothing that was leased there can run."""
-    gone: bool = False
-    paced_at: float = NEVER
+    terminated: bool = False
+    throttled_at: float = NEVER
     """When the speed of some run there was last changed."""
     avoid_until: float = NEVER
     """No new work before this time, because the VM refused a start or its tasks fail or make no
     progress."""
     failed_jobs: set[str] = field(default_factory=set)
     """Jobs of which a task has failed there since a task of theirs last succeeded there."""
-    kept_priority: int = 0
+    reserved_priority: int = 0
     """Priority for which its capacity is reserved."""
-    kept_for: str = ""
+    reserved_for: str = ""
     """Step for which alone its capacity is reserved; empty if any step of that priority may use it.
     """
-    kept_until: float = NEVER
+    reserved_until: float = NEVER
     """Until when its capacity is reserved for that step, or for work of that priority or more
     urgent work."""
-    strikes: int = 0
+    quarantines: int = 0
     """Number of quarantines since a task last succeeded there; each doubles the next pause."""
     recorded: bool = False
     """Whether its record says, or is about to say, that it may run something."""
-    uses: int = 0
+    use_record_number: int = 0
     """Number of the newest use record that this leader made for it."""
     in_use: bool = False
     """Whether that record is in the store, so that runs may be started."""
-    loaded: bool = False
+    earlier_runs_possible: bool = False
     """Whether a previous leader may have started something there, or a start request for its
     earlier incarnation may have reached it."""
-    trial: str = ""
+    isolated_job: str = ""
     """Job that alone may start runs there, because VMs have crashed under its tasks."""
-    doubted_at: float = NEVER
+    uncertainty_recorded_at: float = NEVER
     """When its runs were last recorded as uncertain because it had fallen silent."""
 
     def __post_init__(self) -> None:
         self.name = self.info.name
 
-    def heard_ago(self, now: float) -> float | None:
+    def report_age(self, now: float) -> float | None:
         """Return the age of its last report in seconds; ``None`` if it never reported."""
-        return round(now - self.heard_at, 3) if self.heard_at > 0 else None
+        return round(now - self.last_report_at, 3) if self.last_report_at > 0 else None
 
-    def kept_from(self, step: "StepRow", priority: int, now: float) -> bool:
+    def reserved_against(self, step: "StepRow", priority: int, now: float) -> bool:
         """Return whether its capacity is reserved against a step of some priority."""
-        if self.kept_until <= now or priority < self.kept_priority:
+        if self.reserved_until <= now or priority < self.reserved_priority:
             return False
-        return priority > self.kept_priority or self.kept_for not in ("", step.key)
+        return priority > self.reserved_priority or self.reserved_for not in ("", step.key)
 
-    def clock_after(self, now: float) -> float:
+    def min_clock_ms(self, now: float) -> float:
         """Return the lowest value in ms that the VM's clock can show now."""
-        return self.clock_ms + max(0.0, now - self.clock_at) * 1000.0 * SLOW_CLOCK
+        return self.clock_ms + max(0.0, now - self.clock_read_at) * 1000.0 * MIN_CLOCK_RATE
--- a/src/sablemount/platform/front.py
+++ b/src/sablemount/platform/front.py
@@ -145,7 +145,7 @@
 
     def _refuse(self, connection: httputil.HTTPConnection, status: HTTPStatus, reason: str) -> None:
         """Answer a request that is over a bound, of which no more is read."""
-        self._member.figures.count("refused", reason)
+        self._member.metrics.count("refused", reason)
         _logger.info("refused", extra={"status": int(status), "why": reason})
         _write(connection, status, _ENCODER.encode(_Fault(reason)), {"Connection": "close"})
 
@@ -187,7 +187,7 @@
         _logger.info("calls refused", extra={"in_flight": self.in_flight})
         left = self.server.leave_idle()
         if left:
-            self._member.figures.count("connection_ended", "idle", left)
+            self._member.metrics.count("connection_ended", "idle", left)
 
     @property
     def served_out(self) -> bool:
@@ -310,7 +310,7 @@
 
     def answer(request: httputil.HTTPServerRequest) -> None:
         accepts = request.headers.get_list("Accept")
-        text = member.figures.render(member.gauges() | more(), accepts)
+        text = member.metrics.render(member.gauges() | more(), accepts)
         respond(request, HTTPStatus.OK, text, {"Content-Type": "text/plain; version=0.0.4"})
 
     return EndingServer(answer)
--- a/src/sablemount/platform/settings.py
+++ b/src/sablemount/platform/settings.py
@@ -109,10 +109,10 @@
     """Translate into the product's settings."""
     bounds = boot.bounds
     jobs = JobSettings(
-        lease=min(bounds.hold_max_ms / MS, LONGEST_LEASE),
-        stop_time=bounds.stop_ms / MS,
-        state_kept=bounds.status_s,
-        restore=bounds.restore_ms / MS,
+        lease_s=min(bounds.hold_max_ms / MS, LONGEST_LEASE),
+        stop_time_s=bounds.stop_ms / MS,
+        state_retention_s=bounds.status_s,
+        restore_s=bounds.restore_ms / MS,
         cap_overage=bounds.quota_overage,
         record_bytes=boot.platform.record_bytes,
         call_bytes=boot.platform.call_bytes,
--- a/src/sablemount/platform/store.py
+++ b/src/sablemount/platform/store.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from sablemount.adapters.upstream import Answer, CutShort, NotSent, Parts, UpstreamPool
-from sablemount.control.progress import Progress
+from sablemount.control.progress import TransferProgress
 from sablemount.control.store import (
     Appended,
     AppendResult,
@@ -125,13 +125,13 @@
         return answer if isinstance(answer, Unavailable) else _appended(answer)
 
     async def newest(
-        self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
+        self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
     ) -> Page | Unavailable:
         """Return a page of the newest records."""
         path = f"/api/log-newest?topic={TOPICS[topic]}&part={PART}"
         if after:
             path += f"&dependsOn={_quoted(after)}"
-        parts = None if progress is None else Parts(timeout, progress.arrived)
+        parts = None if progress is None else Parts(timeout, progress.add_received)
         answer = await self._call("GET", path, b"", timeout, parts=parts)
         if isinstance(answer, Unavailable):
             return answer
@@ -145,12 +145,12 @@
         return Page(items, newest.more, newest.end)
 
     async def read(
-        self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
+        self, topic: Topic, offset: int, wait: float, progress: TransferProgress | None = None
     ) -> ReadResult:
         """Return what follows an offset."""
         path = f"/api/log-read?topic={TOPICS[topic]}&part={PART}&from={offset}"
         path += f"&waitMs={int(wait * MS)}"
-        parts = None if progress is None else Parts(READ_SLACK, progress.arrived)
+        parts = None if progress is None else Parts(READ_SLACK, progress.add_received)
         answer = await self._call("GET", path, b"", wait + READ_SLACK, wait, parts)
         if isinstance(answer, Unavailable):
             return answer
--- a/src/sablemount/platform/workers.py
+++ b/src/sablemount/platform/workers.py
@@ -9,13 +9,13 @@
 from sablemount.control.messages import AdviceReply
 from sablemount.control.ports import CallError, HoldCall, HoldResult, Started, StartResult
 from sablemount.jobs.actions import (
-    EndReport,
-    Heard,
-    OtherLife,
-    PaceRun,
+    CompletionReport,
+    LaterIncarnation,
     RunReport,
     StartRun,
     StopRun,
+    ThrottleRun,
+    VmReport,
 )
 from sablemount.jobs.scheduler import StartRefusal
 from sablemount.platform.lives import entry_of, life_name
@@ -31,7 +31,7 @@
 REFUSALS = {
     "old": StartRefusal.OLD,
     "late": StartRefusal.LATE,
-    "room": StartRefusal.ROOM,
+    "room": StartRefusal.CAPACITY,
     "ticket": StartRefusal.TICKET,
 }
 MS = 1000
@@ -70,7 +70,7 @@
 class _Held(msgspec.Struct, frozen=True, rename="camel"):
     clock_ms: float
     running: tuple[RunReport, ...] = ()
-    ended: tuple[EndReport, ...] = ()
+    ended: tuple[CompletionReport, ...] = ()
     born: int = 0
 
 
@@ -116,8 +116,8 @@
             return CallError.NO_ANSWER
         answers = life_name(entry_of(call.vm), held.born)
         if held.born and answers != call.vm:
-            return OtherLife(answers, held.born)
-        return Heard(call.vm, sent_at, held.clock_ms, held.running, held.ended)
+            return LaterIncarnation(answers, held.born)
+        return VmReport(call.vm, sent_at, held.clock_ms, held.running, held.ended)
 
     async def start(
         self, action: StartRun, address: str, fence: int, until_ms: int, timeout: float
@@ -155,7 +155,7 @@
         return await self._order(address, "/api/run-stop", body, action.vm, timeout)
 
     async def pace(
-        self, action: PaceRun, address: str, fence: int, timeout: float
+        self, action: ThrottleRun, address: str, fence: int, timeout: float
     ) -> CallError | None:
         """Pace a run."""
         body = _Pace(action.task, action.run, action.percent, fence)
--- a/tests/emulator/narrow.py
+++ b/tests/emulator/narrow.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from sablemount.control.progress import Progress
+from sablemount.control.progress import TransferProgress
 from sablemount.control.store import (
     AppendResult,
     Page,
@@ -36,7 +36,7 @@
         """Whether what is on its way comes no further."""
         self._turn = asyncio.Lock()
 
-    async def carry(self, size: int, progress: Progress | None, silence: float) -> bool:
+    async def carry(self, size: int, progress: TransferProgress | None, silence: float) -> bool:
         """Bring an answer; return whether it came without a pause longer than ``silence``."""
         for _ in range(max(1, math.ceil(size / PART))):
             try:
@@ -45,7 +45,7 @@
             except TimeoutError:
                 return False
             if progress is not None:
-                progress.arrived(PART)
+                progress.add_received(PART)
         return True
 
     async def _part(self) -> None:
@@ -67,7 +67,7 @@
         self._link = link
 
     async def newest(
-        self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
+        self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
     ) -> Page | Unavailable:
         page = await super().newest(topic, after, timeout)
         if isinstance(page, Unavailable):
@@ -77,7 +77,7 @@
         return page if came else Unavailable("no answer in time")
 
     async def read(
-        self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
+        self, topic: Topic, offset: int, wait: float, progress: TransferProgress | None = None
     ) -> ReadResult:
         found = await super().read(topic, offset, wait)
         if not isinstance(found, Records):
@@ -86,7 +86,7 @@
         came = await self._bring(size, progress, 0.8)
         return found if came else Unavailable("no answer in time")
 
-    async def _bring(self, size: int, progress: Progress | None, timeout: float) -> bool:
+    async def _bring(self, size: int, progress: TransferProgress | None, timeout: float) -> bool:
         if progress is not None:
             return await self._link.carry(size, progress, timeout)
         try:
@@ -126,12 +126,12 @@
         """When the read that is under way is given up if nothing of it has come."""
 
     async def read(
-        self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
+        self, topic: Topic, offset: int, wait: float, progress: TransferProgress | None = None
     ) -> ReadResult:
         self._until = asyncio.get_running_loop().time() + wait + 0.8
         return await super().read(topic, offset, wait, progress)
 
-    async def _bring(self, size: int, progress: Progress | None, timeout: float) -> bool:
+    async def _bring(self, size: int, progress: TransferProgress | None, timeout: float) -> bool:
         now = asyncio.get_running_loop().time()
         if not await self._reads.take_turn(size, max(timeout, self._until - now)):
             return False
--- a/tests/emulator/store.py
+++ b/tests/emulator/store.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from sablemount.control.progress import Progress
+from sablemount.control.progress import TransferProgress
 from sablemount.control.store import (
     Appended,
     AppendResult,
@@ -268,7 +268,7 @@
             answer.set_result(result)
 
     async def newest(
-        self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
+        self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
     ) -> Page | Unavailable:
         if self._unread(topic, after):
             await asyncio.sleep(timeout)
@@ -283,7 +283,7 @@
         return page
 
     async def read(
-        self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
+        self, topic: Topic, offset: int, wait: float, progress: TransferProgress | None = None
     ) -> ReadResult:
         if self._unread(topic, LAST_KEY):
             await asyncio.sleep(wait + 0.8)
--- a/tests/emulator/transit.py
+++ b/tests/emulator/transit.py
@@ -9,7 +9,7 @@
 import random
 from typing import TypeVar
 
-from sablemount.control.progress import Progress
+from sablemount.control.progress import TransferProgress
 from sablemount.control.store import (
     AppendResult,
     Page,
@@ -125,7 +125,7 @@
         return answer
 
     async def newest(
-        self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
+        self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
     ) -> Page | Unavailable:
         if self._transit.refuses():
             return await self._turn_away()
@@ -133,7 +133,7 @@
         return await self._answered(page, timeout)
 
     async def read(
-        self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
+        self, topic: Topic, offset: int, wait: float, progress: TransferProgress | None = None
     ) -> ReadResult:
         if self._transit.refuses():
             return await self._turn_away()
--- a/tests/emulator/vm.py
+++ b/tests/emulator/vm.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from sablemount.jobs.actions import EndReport
+from sablemount.jobs.actions import CompletionReport
 from sablemount.jobs.model import Shape, VmInfo
 
 __all__ = ["OpenEnd", "Run", "Vm", "work_owner"]
@@ -91,7 +91,7 @@
     fence: int = 0
     until_ms: float = 0.0
     runs: dict[tuple[str, int], Run] = field(default_factory=dict)
-    ends: list[EndReport] = field(default_factory=list)
+    ends: list[CompletionReport] = field(default_factory=list)
     barred: Counter[str] = field(default_factory=Counter)
     """The highest run that was stopped or has ended, by the task: none up to it starts any more."""
     acked_end: int = 0
--- a/tests/emulator/vms.py
+++ b/tests/emulator/vms.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from sablemount.control.ports import CallError, HoldCall, Started, StartResult
-from sablemount.jobs.actions import EndReport, StartRun
+from sablemount.jobs.actions import CompletionReport, StartRun
 from sablemount.jobs.model import JobSpec, Organisation, Shape, StepSpec, VmInfo
 from sablemount.jobs.scheduler import StartRefusal
 from tests.emulator.advice import good_ticket
@@ -331,7 +331,7 @@
             vm.open_ends[vm.next_end] = OpenEnd(run.task, how, now, vm.lapses)
         if vm.next_end > vm.acked_end:
             saved = run.saved(now, True) if how == "stopped" else ""
-            vm.ends.append(EndReport(vm.next_end, run.task, run.number, how, saved))
+            vm.ends.append(CompletionReport(vm.next_end, run.task, run.number, how, saved))
         else:
             # Acknowledged beforehand, which counts all the same.
             self._note(vm, vm.next_end)
--- a/tests/emulator/watch.py
+++ b/tests/emulator/watch.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from sablemount.control.store import AppendResult, Producer, Topic
-from sablemount.jobs.actions import EndReport
+from sablemount.jobs.actions import CompletionReport
 from sablemount.jobs.records import (
     JOB_PREFIX,
     PROGRESS_PREFIX,
@@ -118,13 +118,13 @@
         if len(found) < len(records):
             self._wrong("loaded two records of one key", epoch)
 
-    def acknowledged(self, epoch: int, vm: str, end: EndReport) -> None:
+    def acknowledged(self, epoch: int, vm: str, end: CompletionReport) -> None:
         """Check an end that a VM is told to forget: the stored progress of its job covers it."""
         if not self._covers(end):
             what = f"end {end.number} of {vm} acknowledged, but not in the store: {end.task}"
             self._wrong(f"{what}, run {end.run}, {end.outcome}", epoch)
 
-    def _covers(self, end: EndReport) -> bool:
+    def _covers(self, end: CompletionReport) -> bool:
         """Tell whether the store holds an end, or what makes it void; others change no record."""
         job, repetition, step, index = end.task.split(".")
         if end.outcome not in ("done", "failed") or job in self._ended:
--- a/tests/emulator/watched.py
+++ b/tests/emulator/watched.py
@@ -23,7 +23,7 @@
 def watch_leader(leader: Leader, watch: Watch) -> None:
     """Have a leader's load, its appends and what it takes for durable checked."""
     committer, scheduler, journal = leader.committer, leader.scheduler, leader.scheduler.journal
-    append, load, durable = committer.append, scheduler.load, journal.durable
+    append, load, durable = committer.append, scheduler.load, journal.batch_stored
     epoch = leader.epoch
     sent = 0
 
@@ -45,7 +45,7 @@
 
     committer.append = checked_append
     scheduler.load = checked_load
-    journal.durable = checked_durable
+    journal.batch_stored = checked_durable
 
 
 class WatchedMember(Member):
--- a/tests/jobs/replay.py
+++ b/tests/jobs/replay.py
@@ -110,7 +110,7 @@
         now = self.rig.clock.time
         duration = self._work[start.task.partition(".")[0]] / self._speed[start.vm] + OVERHEAD_S
         self._intervals[(start.task, start.run)] = (now, now + duration)
-        self.rig.run(start)
+        self.rig.hold(start)
         self._push(now + duration, start, "done")
 
     def _stop(self, stop: StopRun) -> None:
@@ -129,10 +129,10 @@
         while self._pending_ends and self._pending_ends[0][0] <= rig.clock.time:
             _, _, start, outcome = heapq.heappop(self._pending_ends)
             if self._intervals.pop((start.task, start.run), None) is not None:
-                rig.end(start, outcome)
+                rig.complete(start, outcome)
         for rows in rig.running.values():
             rows[:] = [self._progress(row) for row in rows]
-        rig.hear_all()
+        rig.report_all()
         rig.commit()
         self._acknowledge()
 
@@ -142,7 +142,7 @@
         for row in scheduler.state.vms.values():
             number = scheduler.acks.due(row)
             if number:
-                scheduler.acks.answered(row, number)
+                scheduler.acks.ack_answered(row, number)
 
     def _progress(self, row: RunReport) -> RunReport:
         began, ends = self._intervals[(row.task, row.run)]
--- a/tests/jobs/rig.py
+++ b/tests/jobs/rig.py
@@ -3,12 +3,12 @@
 from sablemount.jobs.actions import (
     Action,
     AskAdvice,
-    EndReport,
-    Heard,
-    LookAt,
+    CompletionReport,
+    PollVm,
     RunReport,
     StartRun,
     StopRun,
+    VmReport,
 )
 from sablemount.jobs.journal import Batch
 from sablemount.jobs.model import (
@@ -68,51 +68,51 @@
         self.scheduler = JobScheduler(JobSettings(cap_overage=0.1), epoch, self.clock)
         self.store: dict[str, bytes] = {}
         self.actions: list[Action] = []
-        self.listed: list[str] = []
+        self.vm_names: list[str] = []
         self.running: dict[str, list[RunReport]] = {}
-        self.ends: dict[str, list[EndReport]] = {}
-        self.notes_at_once = True
+        self.completions: dict[str, list[CompletionReport]] = {}
+        self.records_at_once = True
         """Whether the store immediately takes the records that a start waits for."""
-        self.scheduler.configured(self.configuration)
+        self.scheduler.apply_configuration(self.configuration)
         self.scheduler.load([])
         self.add_vms(vms)
         self.commit()
 
     def add_vms(self, count: int) -> None:
-        self.list_vms(count)
-        self.hear_all()
+        self.add_entries(count)
+        self.report_all()
 
-    def list_vms(self, count: int) -> None:
+    def add_entries(self, count: int) -> None:
         for _ in range(count):
-            number = len(self.listed)
+            number = len(self.vm_names)
             labels = ("a" if number % 2 else "b", f"r{number // 2}")
-            self.listed.append(f"w{number}")
+            self.vm_names.append(f"w{number}")
             info = VmInfo(f"w{number}", f"a{number}", "pool", CAPACITY, labels)
-            self.scheduler.told(info)
+            self.scheduler.update_vm(info)
 
     # -- What happens ------------------------------------------------------------------------
 
-    def hear(self, vm: str) -> None:
+    def report(self, vm: str) -> None:
         clock_ms = self.clock.time * 1000.0
         running = tuple(self.running.get(vm, ()))
-        ended = tuple(self.ends.get(vm, ()))
-        self.scheduler.now()
-        self.scheduler.heard(Heard(vm, self.clock.time, clock_ms, running, ended))
+        ended = tuple(self.completions.get(vm, ()))
+        self.scheduler.update_time()
+        self.scheduler.vm_reported(VmReport(vm, self.clock.time, clock_ms, running, ended))
 
-    def hear_all(self) -> None:
-        for vm in self.listed:
-            self.hear(vm)
+    def report_all(self) -> None:
+        for vm in self.vm_names:
+            self.report(vm)
 
     def tick(self, seconds: float = 0.01) -> list[Action]:
         self.clock.time += seconds
-        self.scheduler.now()
+        self.scheduler.update_time()
         actions = self.scheduler.tick()
-        if self.notes_at_once and self.scheduler.starts.waiting():
+        if self.records_at_once and self.scheduler.starts.has_pending():
             self.commit()
             actions += self.scheduler.tick()
-        polled = [action.vm for action in actions if isinstance(action, LookAt)]
-        for vm in sorted(set(polled) & set(self.listed)):
-            self.hear(vm)
+        polled = [action.vm for action in actions if isinstance(action, PollVm)]
+        for vm in sorted(set(polled) & set(self.vm_names)):
+            self.report(vm)
         if polled:
             actions += self.scheduler.tick()
         self.actions += actions
@@ -121,7 +121,7 @@
     def wait(self, seconds: float) -> list[Action]:
         """Let time pass, deliver a report of every VM, and run the systems."""
         self.clock.time += seconds
-        self.hear_all()
+        self.report_all()
         return self.tick()
 
     def commit(self) -> Batch:
@@ -131,7 +131,7 @@
                 self.store[record.key] = record.value
             else:
                 self.store.pop(record.key, None)
-        self.scheduler.durable(batch)
+        self.scheduler.batch_stored(batch)
         return batch
 
     def accept(
@@ -147,10 +147,10 @@
     def stopped(self) -> list[StopRun]:
         return [action for action in self.actions if isinstance(action, StopRun)]
 
-    def asked(self) -> list[AskAdvice]:
+    def advice_calls(self) -> list[AskAdvice]:
         return [action for action in self.actions if isinstance(action, AskAdvice)]
 
-    def run(self, start: StartRun, percent: float = 0.0) -> None:
+    def hold(self, start: StartRun, percent: float = 0.0) -> None:
         """Let a VM hold a run that it was requested to start."""
         rows = self.running.setdefault(start.vm, [])
         rows[:] = [row for row in rows if row.task != start.task]
@@ -159,10 +159,10 @@
     def hold_all(self, percent: float = 0.0) -> None:
         """Let the VMs hold all runs that they were requested to start, and report."""
         for start in self.started():
-            self.run(start, percent)
-        self.hear_all()
+            self.hold(start, percent)
+        self.report_all()
 
-    def run_all(self) -> None:
+    def start_and_hold_all(self) -> None:
         """Start everything that fits and let the VMs hold it, with health checks switched off.
 
         Runs make no progress here, which the health checks would take for a fault.
@@ -172,12 +172,12 @@
         self.hold_all()
         self.tick()
 
-    def end(self, start: StartRun, outcome: str, saved: str = "") -> None:
+    def complete(self, start: StartRun, outcome: str, saved: str = "") -> None:
         """Let a run end on its VM."""
         rows = self.running.setdefault(start.vm, [])
         rows[:] = [row for row in rows if row.task != start.task]
-        ends = self.ends.setdefault(start.vm, [])
-        ends.append(EndReport(len(ends) + 1, start.task, start.run, outcome, saved))
+        ends = self.completions.setdefault(start.vm, [])
+        ends.append(CompletionReport(len(ends) + 1, start.task, start.run, outcome, saved))
 
     def successor(self) -> "Rig":
         """Return the rig of a later leader that has loaded the contents of the store."""
@@ -190,10 +190,10 @@
         )
         other.clock.time = self.clock.time
         other.running = self.running
-        other.ends = self.ends
-        other.listed = list(self.listed)
-        other.scheduler.now()
+        other.completions = self.completions
+        other.vm_names = list(self.vm_names)
+        other.scheduler.update_time()
         other.scheduler.load([Record(key, value) for key, value in self.store.items()])
         for row in self.scheduler.state.vms.values():
-            other.scheduler.told(row.info)
+            other.scheduler.update_vm(row.info)
         return other
--- a/tests/jobs/running.py
+++ b/tests/jobs/running.py
@@ -10,7 +10,7 @@
 """Number of faults in a mix."""
 
 
-async def begun(system: System, seconds: float = 2.0) -> str:
+async def start_system(system: System, seconds: float = 2.0) -> str:
     """Start all members, wait for some seconds, and return the leader's name."""
     system.start_all()
     await asyncio.sleep(seconds)
@@ -19,7 +19,7 @@
     return leader
 
 
-def mix(seed: int) -> list[kinds.Fault]:
+def fault_mix(seed: int) -> list[kinds.Fault]:
     """Return a sequence of faults determined by a seed."""
     rng = random.Random(seed)
     return [rng.choice(kinds.FAULTS) for _ in range(FAULTS_IN_MIX)]
--- a/tests/jobs/stores.py
+++ b/tests/jobs/stores.py
@@ -5,7 +5,7 @@
 from tests.emulator.store import EmulatedStore
 
 
-class ArrangedStore(EmulatedStore):
+class InterceptingStore(EmulatedStore):
     """Carries out an append unless ``arranged`` returns an answer for it."""
 
     async def append(
--- a/tests/jobs/test_acks.py
+++ b/tests/jobs/test_acks.py
@@ -12,10 +12,10 @@
 
 from sablemount.control.ports import CallError, HoldCall, HoldResult, StartResult
 from sablemount.control.vm_calls import VmCalls
-from sablemount.jobs.actions import Heard, OtherLife, RunReport, StartRun
+from sablemount.jobs.actions import LaterIncarnation, RunReport, StartRun, VmReport
 from sablemount.jobs.model import StepSpec
 from sablemount.jobs.records import Record
-from sablemount.jobs.systems.acks import HEARD_WITHIN, PATIENCE
+from sablemount.jobs.systems.acks import MAX_ACK_DELAY_S, MAX_REPORT_AGE_S
 from sablemount.jobs.tables import VmRow
 from tests.emulator.loop import run
 from tests.jobs.rig import CORE, Rig, spec
@@ -28,8 +28,8 @@
     rig = Rig(vms=1)
     rig.accept("job", JOB)
     rig.tick()
-    rig.end(rig.started()[0], "done")
-    rig.hear_all()
+    rig.complete(rig.started()[0], "done")
+    rig.report_all()
     rig.commit()
     return rig, rig.scheduler.state.vms["w0"]
 
@@ -37,18 +37,18 @@
 def test_an_acknowledgement_is_due_right_after_a_report() -> None:
     rig, row = _rig_with_completion()
     assert rig.scheduler.acks.due(row) == 1
-    rig.clock.time += HEARD_WITHIN + 0.01
-    rig.scheduler.now()
+    rig.clock.time += MAX_REPORT_AGE_S + 0.01
+    rig.scheduler.update_time()
     assert rig.scheduler.acks.due(row) == 0
-    rig.hear_all()
+    rig.report_all()
     assert rig.scheduler.acks.due(row) == 1
 
 
 def test_an_acknowledgement_is_sent_once() -> None:
     rig, row = _rig_with_completion()
-    rig.scheduler.acks.sent(row)
-    rig.scheduler.acks.answered(row, 1)
-    rig.hear_all()
+    rig.scheduler.acks.ack_sent(row)
+    rig.scheduler.acks.ack_answered(row, 1)
+    rig.report_all()
     assert rig.scheduler.acks.due(row) == 0
 
 
@@ -56,20 +56,20 @@
     rig, row = _rig_with_completion()
     rig.accept("more", JOB)
     rig.tick()
-    rig.hear_all()
+    rig.report_all()
     assert rig.scheduler.acks.due(row) == 0
-    rig.run(rig.started()[-1])
-    rig.hear_all()
+    rig.hold(rig.started()[-1])
+    rig.report_all()
     assert rig.scheduler.acks.due(row) == 1
 
 
 def test_nothing_is_started_while_an_acknowledgement_is_in_flight() -> None:
     rig, row = _rig_with_completion()
-    rig.scheduler.acks.sent(row)
+    rig.scheduler.acks.ack_sent(row)
     rig.accept("more", JOB)
     rig.tick()
     assert len(rig.started()) == 1
-    rig.scheduler.acks.answered(row, 1)
+    rig.scheduler.acks.ack_answered(row, 1)
     rig.wait(0.1)
     assert len(rig.started()) == 2
 
@@ -77,8 +77,8 @@
 def test_nothing_is_started_after_an_unanswered_acknowledgement_until_the_next_report() -> None:
     rig, row = _rig_with_completion()
     fence = row.fence
-    rig.scheduler.acks.sent(row)
-    rig.scheduler.acks.unanswered(row, True)
+    rig.scheduler.acks.ack_sent(row)
+    rig.scheduler.acks.ack_unanswered(row, True)
     assert row.fence > fence
     rig.accept("more", JOB)
     rig.tick()
@@ -95,25 +95,25 @@
         # Each start is listed only after the next one has been requested.
         started = rig.started()
         for start in started[1:-1]:
-            rig.run(start)
-        rig.hear_all()
+            rig.hold(start)
+        rig.report_all()
         rig.scheduler.acks.due(row)
-    assert rig.scheduler.acks.hold_up(row)
-    assert row.untold_since is not None
-    assert rig.clock.time - row.untold_since > PATIENCE
+    assert rig.scheduler.acks.delays_starts(row)
+    assert row.unacknowledged_since is not None
+    assert rig.clock.time - row.unacknowledged_since > MAX_ACK_DELAY_S
 
 
 def test_nothing_is_started_on_an_incarnation_that_got_an_earlier_ones_acknowledgement() -> None:
     rig, row = _rig_with_completion()
-    rig.scheduler.acks.sent(row)
-    rig.scheduler.other_life(row, OtherLife("w0/7", 7), 1)
+    rig.scheduler.acks.ack_sent(row)
+    rig.scheduler.incarnation_replaced(row, LaterIncarnation("w0/7", 7), 1)
     later = rig.scheduler.state.vms["w0/7"]
-    assert later.deaf
+    assert later.completions_unreliable
     rig.commit()
     assert b"deaf" in rig.store["w/w0/7"]
     next_leader = Rig(0, 2)
     next_leader.scheduler.load([Record(key, value) for key, value in rig.store.items()])
-    assert next_leader.scheduler.state.vms["w0/7"].deaf
+    assert next_leader.scheduler.state.vms["w0/7"].completions_unreliable
 
 
 @pytest.mark.parametrize("arrives", [True, False], ids=["no answer", "not sent"])
@@ -124,34 +124,36 @@
     with seen_end 0, and started again.
     """
     rig, row = _rig_with_completion()
-    rig.scheduler.acks.sent(row)
-    rig.scheduler.acks.unanswered(row, arrives)
+    rig.scheduler.acks.ack_sent(row)
+    rig.scheduler.acks.ack_unanswered(row, arrives)
     rig.clock.time += 3.0
-    rig.scheduler.now()
-    rig.scheduler.other_life(row, OtherLife("w0/7", 7), 0)
-    assert rig.scheduler.state.vms["w0/7"].deaf is arrives
+    rig.scheduler.update_time()
+    rig.scheduler.incarnation_replaced(row, LaterIncarnation("w0/7", 7), 0)
+    assert rig.scheduler.state.vms["w0/7"].completions_unreliable is arrives
 
 
 def test_a_number_that_outlives_its_leader_may_have_reached_the_next_life() -> None:
     """The leader ended with an acknowledgement in flight, of which the store has no record."""
     rig, row = _rig_with_completion()
-    rig.scheduler.acks.sent(row)
-    rig.scheduler.acks.unanswered(row, True)
+    rig.scheduler.acks.ack_sent(row)
+    rig.scheduler.acks.ack_unanswered(row, True)
     rig.commit()
     later = Rig(0, 2)
     later.scheduler.load([Record(key, value) for key, value in rig.store.items()])
-    later.scheduler.other_life(later.scheduler.state.vms["w0"], OtherLife("w0/7", 7), 0)
-    assert later.scheduler.state.vms["w0/7"].deaf
+    later.scheduler.incarnation_replaced(
+        later.scheduler.state.vms["w0"], LaterIncarnation("w0/7", 7), 0
+    )
+    assert later.scheduler.state.vms["w0/7"].completions_unreliable
 
 
 def test_nothing_more_is_started_on_a_vm_with_an_unlisted_completion() -> None:
     rig = Rig(vms=1)
     rig.accept("job", JOB)
-    rig.run_all()
+    rig.start_and_hold_all()
     rig.running["w0"] = []
     rig.clock.time += 1.0
-    rig.hear_all()
-    assert rig.scheduler.state.vms["w0"].deaf
+    rig.report_all()
+    assert rig.scheduler.state.vms["w0"].completions_unreliable
     rig.wait(0.3)
     assert len(rig.started()) == 1
 
@@ -182,7 +184,7 @@
     recorded: asyncio.Future[None] = asyncio.get_running_loop().create_future()
     recorded.set_result(None)
     rig.clock.monotonic = asyncio.get_running_loop().time  # type: ignore[method-assign]
-    rig.scheduler.now()
+    rig.scheduler.update_time()
     return VmCalls(
         rig.scheduler, port, 3, lambda: True, fenced.append, lambda: None, lambda: recorded
     )
@@ -216,11 +218,11 @@
 
         def answer(call: HoldCall) -> HoldResult:
             now = asyncio.get_running_loop().time()
-            return Heard("w0", now, now * 1000.0, (), ())
+            return VmReport("w0", now, now * 1000.0, (), ())
 
         port = _Port(answer)
         vm_calls = _vm_calls(rig, port, [])
-        row.heard_at = asyncio.get_running_loop().time()
+        row.last_report_at = asyncio.get_running_loop().time()
         await vm_calls._poll(row)
         await vm_calls._poll(row)
         assert [(call.acked_completion, call.wait > 0) for call in port.holds] == [
@@ -238,7 +240,7 @@
         rig = Rig(vms=1)
         port = _Port(lambda call: CallError.NO_ANSWER)
         vm_calls = _vm_calls(rig, port, [])
-        rig.hear_all()
+        rig.report_all()
         rig.accept("job", JOB)
         actions = rig.scheduler.tick()
         (start,) = [action for action in actions if isinstance(action, StartRun)]
@@ -247,7 +249,7 @@
             row = rig.scheduler.state.vms["w0"]
             clock_ms = row.clock_ms + 10.0
             report = RunReport(start.task, start.run)
-            rig.scheduler.heard(Heard("w0", 0.0, clock_ms, (report,), ()))
+            rig.scheduler.vm_reported(VmReport("w0", 0.0, clock_ms, (report,), ()))
             return CallError.NO_ANSWER
 
         port.on_start = answer_after_listing
--- a/tests/jobs/test_advice.py
+++ b/tests/jobs/test_advice.py
@@ -14,15 +14,15 @@
 ) -> tuple[Rig, list[AskAdvice]]:
     advised = queue("q", advice=terms)
     rig = Rig(vms=vms, queues=(advised,))
-    rig.scheduler.advice.set_lanes({f"l{number}" for number in range(slots)})
+    rig.scheduler.advice.set_call_slots({f"l{number}" for number in range(slots)})
     rig.accept("wide", spec(StepSpec(tasks, HALF, expected_ms=4000.0, gang=True)), advised)
     rig.tick()
-    return rig, rig.asked()
+    return rig, rig.advice_calls()
 
 
 def _answer(rig: Rig, call: AskAdvice, good: int) -> None:
     tickets = dict.fromkeys(call.vms[:good], "ticket")
-    rig.scheduler.advice.answered(call.lane, call.step, call.vms, tickets, 2000.0)
+    rig.scheduler.advice.answered(call.call_slot, call.step, call.vms, tickets, 2000.0)
     rig.tick()
 
 
@@ -30,10 +30,10 @@
     _, calls = _request(SLOW, slots=20)
     named = [vm for call in calls for vm in call.vms]
     assert len(calls) == 3
-    assert len({call.lane for call in calls}) == 3
+    assert len({call.call_slot for call in calls}) == 3
     assert sorted(named) == sorted(set(named))
     assert len(named) == 60
-    assert max(call.cost for call in calls) < 0.6
+    assert max(call.expected_s for call in calls) < 0.6
 
 
 def test_a_request_is_not_divided_if_call_slots_are_few_or_it_is_short() -> None:
@@ -56,11 +56,11 @@
 
 def test_a_part_that_fails_is_asked_for_again_and_the_others_count() -> None:
     rig, calls = _request(SLOW, slots=20)
-    rig.scheduler.advice.failed(calls[0].lane, calls[0].step)
+    rig.scheduler.advice.failed(calls[0].call_slot, calls[0].step)
     _answer(rig, calls[1], good=1)
     _answer(rig, calls[2], good=1)
     rig.wait(0.5)
-    repeated = [call for call in rig.asked() if call not in calls]
+    repeated = [call for call in rig.advice_calls() if call not in calls]
     assert sorted(vm for call in repeated for vm in call.vms) == sorted(calls[0].vms)
 
 
@@ -69,7 +69,7 @@
     (call,) = calls
     assert len(call.vms) == 30
     _answer(rig, call, good=1)
-    (repeated,) = [other for other in rig.asked() if other is not call]
+    (repeated,) = [other for other in rig.advice_calls() if other is not call]
     assert not set(call.vms) & set(repeated.vms)
 
 
@@ -83,7 +83,7 @@
     assert sum(len(call.vms) for call in calls) == 64
     for call in calls:
         _answer(rig, call, good=0)
-    repeated = [call for call in rig.asked() if call not in calls]
+    repeated = [call for call in rig.advice_calls() if call not in calls]
     assert sum(len(call.vms) for call in repeated) > 70
 
 
@@ -94,9 +94,9 @@
         _answer(rig, call, 2)
     step = rig.scheduler.state.open_steps["wide.0.0"]
     assert step.advice is not None
-    terminated = next(iter(step.advice.good))
-    rig.scheduler.vms.died(terminated)
+    terminated = next(iter(step.advice.tickets))
+    rig.scheduler.vms.incarnation_ended(terminated)
     for _ in range(4):
         rig.tick(0.3)
-    assert step.advice.good
-    assert terminated not in step.advice.good
+    assert step.advice.tickets
+    assert terminated not in step.advice.tickets
--- a/tests/jobs/test_authority.py
+++ b/tests/jobs/test_authority.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from sablemount.control.authority import AUTHORITY_TIME, WOKEN_AFTER, Authority
+from sablemount.control.authority import AUTHORITY_VALIDITY_S, PAUSE_THRESHOLD_S, Authority
 from sablemount.control.clock import monotonic
 from tests.emulator.loop import run
 
@@ -19,7 +19,7 @@
 
     def confirm(self, asked_at: float) -> None:
         self.confirmed_at = monotonic()
-        self.authority.confirmed(asked_at)
+        self.authority.on_confirmed(asked_at)
 
 
 def test_orders_end_when_the_store_has_not_answered_for_long() -> None:
@@ -27,7 +27,7 @@
         rig = _Rig()
         assert rig.authority.holds()
         for _ in range(4):
-            await asyncio.sleep(AUTHORITY_TIME / 3)
+            await asyncio.sleep(AUTHORITY_VALIDITY_S / 3)
             rig.authority.tick()
         assert not rig.authority.holds()
         rig.members = True
@@ -39,7 +39,7 @@
 def test_after_a_pause_the_store_is_asked_first() -> None:
     async def scenario() -> None:
         rig = _Rig()
-        await asyncio.sleep(WOKEN_AFTER + 0.1)
+        await asyncio.sleep(PAUSE_THRESHOLD_S + 0.1)
         rig.members = True
         assert not rig.authority.holds()
         assert rig.asked > 0
@@ -53,7 +53,7 @@
     async def scenario() -> None:
         rig = _Rig()
         asked_at = monotonic()
-        await asyncio.sleep(WOKEN_AFTER + 0.1)
+        await asyncio.sleep(PAUSE_THRESHOLD_S + 0.1)
         rig.authority.tick()
         rig.confirm(asked_at)
         assert not rig.authority.holds()
--- a/tests/jobs/test_background.py
+++ b/tests/jobs/test_background.py
@@ -47,7 +47,7 @@
         background = Background(errors.append)
         for number in range(5):
             if elsewhere:
-                background.keep(asyncio.create_task(wait_long(number)))
+                background.track(asyncio.create_task(wait_long(number)))
             else:
                 background.spawn(wait_long(number))
         await asyncio.sleep(1.0)
--- a/tests/jobs/test_batches.py
+++ b/tests/jobs/test_batches.py
@@ -39,7 +39,7 @@
     batches = _batches(rig)
     assert len(batches) > 2
     assert all(call_size(batch.records) <= CALL_BYTES for batch in batches)
-    names = [name for batch in batches for name in batch.accepted]
+    names = [name for batch in batches for name in batch.accepted_jobs]
     assert names == [f"job{number}" for number in range(JOBS)]
 
 
@@ -59,16 +59,16 @@
     for job in jobs:
         for task in job.steps[(0, 0)].tasks[:18_000]:
             task.failed_runs = {1}
-        rig.scheduler.state.mark(job)
-    row.seen_end = 7
+        rig.scheduler.state.mark_dirty(job)
+    row.last_seen_completion = 7
     batches = _batches(rig)
     assert len(batches) > 2
-    assert [batch.ends for batch in batches] == [{}] * (len(batches) - 1) + [{"w0": 7}]
-    rig.scheduler.durable(batches[0])
-    assert row.acked_end == 0
+    assert [batch.completions for batch in batches] == [{}] * (len(batches) - 1) + [{"w0": 7}]
+    rig.scheduler.batch_stored(batches[0])
+    assert row.last_recorded_completion == 0
     for batch in batches[1:]:
-        rig.scheduler.durable(batch)
-    assert row.acked_end == 7
+        rig.scheduler.batch_stored(batch)
+    assert row.last_recorded_completion == 7
 
 
 def test_what_is_too_large_is_left_out_and_not_taken_for_recorded() -> None:
--- a/tests/jobs/test_capacity.py
+++ b/tests/jobs/test_capacity.py
@@ -22,15 +22,15 @@
     info = rig.scheduler.state.vms["w0"].info
     info = msgspec.structs.replace(info, capacity=capacity, revision=revision)
     if listed:
-        rig.scheduler.listed([info])
+        rig.scheduler.update_vm_list([info])
     else:
-        rig.scheduler.told(info)
+        rig.scheduler.update_vm(info)
 
 
 def _count_starts(rig: Rig, name: str, count: int) -> int:
     before = len(rig.started())
     rig.accept(name, spec(StepSpec(count, CORE)))
-    rig.run_all()
+    rig.start_and_hold_all()
     return len(rig.started()) - before
 
 
@@ -45,7 +45,7 @@
     assert _count_starts(rig, "a", 10) == 10
     _describe(rig, SMALL, 2)
     assert _count_starts(rig, "b", 1) == 0
-    assert rig.scheduler.state.vms["w0"].room.cores == -6_000
+    assert rig.scheduler.state.vms["w0"].free_capacity.cores == -6_000
     _describe(rig, CAPACITY, 3)
     rig.wait(0.3)
     assert len(rig.started()) == 11
@@ -71,7 +71,7 @@
 def test_a_repeated_description_lists_the_vm_again() -> None:
     rig = Rig(vms=1)
     _describe(rig, CAPACITY, 7)
-    rig.scheduler.left_list("w0")
+    rig.scheduler.entry_removed("w0")
     _describe(rig, CAPACITY, 7)
     assert rig.scheduler.state.vms["w0"].listed
 
@@ -79,9 +79,9 @@
 def test_a_heartbeat_that_changes_nothing_frees_no_room() -> None:
     rig = Rig(vms=1)
     _describe(rig, CAPACITY, 7)
-    freed = rig.scheduler.state.freed
+    freed = rig.scheduler.state.capacity_version
     _describe(rig, CAPACITY, 8)
-    assert rig.scheduler.state.freed == freed
+    assert rig.scheduler.state.capacity_version == freed
 
 
 def test_the_revision_of_a_vm_is_read_from_its_entry() -> None:
--- a/tests/jobs/test_caps.py
+++ b/tests/jobs/test_caps.py
@@ -7,7 +7,7 @@
 
 from sablemount.control.organisation_figures import MAX_NAMED, organisation_gauges
 from sablemount.jobs.actions import RunReport
-from sablemount.jobs.caps import NO_LIMIT, cap_fault, places_within
+from sablemount.jobs.caps import NO_LIMIT, cap_error, remaining_places
 from sablemount.jobs.model import Organisation, Queue, Shape, StepSpec
 from sablemount.jobs.records import Record
 from sablemount.jobs.scheduler import StartRefusal
@@ -31,7 +31,7 @@
         version=rig.configuration.version + 1,
         organisations=(mine, Organisation(OTHER)),
     )
-    rig.scheduler.configured(rig.configuration)
+    rig.scheduler.apply_configuration(rig.configuration)
 
 
 def test_no_more_starts_than_the_cap_has_room_for() -> None:
@@ -55,10 +55,10 @@
     rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.tick()
-    rig.end(rig.started()[0], "done")
+    rig.complete(rig.started()[0], "done")
     rig.tick()
     assert len(rig.started()) == 1
-    rig.hear_all()
+    rig.report_all()
     rig.tick()
     assert len(rig.started()) == 2
 
@@ -68,14 +68,14 @@
     rig.accept("job", spec(StepSpec(1, FOUR)), organisation=MINE)
     rig.tick()
     first = rig.started()[0]
-    rig.run(first)
-    rig.hear_all()
+    rig.hold(first)
+    rig.report_all()
     rig.scheduler.cancel("job")
     rig.accept("next", spec(StepSpec(1, FOUR)), organisation=MINE)
     rig.tick()
     assert len(rig.started()) == 1
-    rig.end(first, "stopped")
-    rig.hear_all()
+    rig.complete(first, "stopped")
+    rig.report_all()
     rig.tick()
     assert len(rig.started()) == 2
 
@@ -95,7 +95,9 @@
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.tick()
     first = rig.started()[0]
-    rig.scheduler.start_refused(first.vm, first.task, first.run, StartRefusal.ROOM, certain=True)
+    rig.scheduler.start_refused(
+        first.vm, first.task, first.run, StartRefusal.CAPACITY, certain=True
+    )
     rig.tick()
     assert len(rig.started()) == 2
 
@@ -115,9 +117,9 @@
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.tick()
     for start in rig.started():
-        rig.run(start)
+        rig.hold(start)
     later = rig.successor()
-    later.hear_all()
+    later.report_all()
     later.accept("next", spec(StepSpec(1, FOUR)), organisation=MINE)
     later.tick()
     assert later.started() == []
@@ -126,14 +128,14 @@
 def test_a_later_leader_allows_for_runs_on_vms_that_have_not_reported() -> None:
     rig = _capped_rig(20_000)
     later = rig.successor()
-    later.hear("w0")
-    later.hear("w1")
-    later.hear("w2")
+    later.report("w0")
+    later.report("w1")
+    later.report("w2")
     # The fourth VM may run 16 cores, which with another 4 fill the cap of 20.
     later.accept("next", spec(StepSpec(3, FOUR)), organisation=MINE)
     later.tick()
     assert len(later.started()) == 1
-    later.hear("w3")
+    later.report("w3")
     later.tick()
     assert len(later.started()) == 3
 
@@ -143,8 +145,8 @@
     later = Rig(0, 2, organisations=rig.configuration.organisations)
     later.scheduler.load([Record(key, value) for key, value in rig.store.items()])
     for name in ("w0", "w1", "w2"):
-        later.scheduler.told(rig.scheduler.state.vms[name].info)
-        later.hear(name)
+        later.scheduler.update_vm(rig.scheduler.state.vms[name].info)
+        later.report(name)
     later.accept("next", spec(StepSpec(3, FOUR)), organisation=MINE)
     later.tick()
     assert len(later.started()) == 1
@@ -154,11 +156,11 @@
     rig = _capped_rig(17_000, vms=2)
     rig.accept("gone", spec(StepSpec(1, CORE)), organisation=MINE)
     rig.tick()
-    rig.run(rig.started()[0])
+    rig.hold(rig.started()[0])
     rig.scheduler.cancel("gone")
     rig.commit()
     later = rig.successor()
-    later.hear_all()
+    later.report_all()
     later.accept("next", spec(StepSpec(2, CORE)), organisation=MINE)
     later.tick()
     assert len(later.started()) == 1
@@ -168,7 +170,7 @@
     rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(1, FOUR)), organisation=MINE)
     rig.tick()
-    rig.scheduler.vms.died(rig.started()[0].vm)
+    rig.scheduler.vms.incarnation_ended(rig.started()[0].vm)
     rig.tick()
     assert len(rig.started()) == 2
 
@@ -181,13 +183,13 @@
     rig.accept("job", spec(StepSpec(3, FOUR)), organisation=MINE)
     rig.tick()
     _publish_cap(rig, 4_000)
-    rig.end(rig.started()[0], "done")
-    rig.hear_all()
+    rig.complete(rig.started()[0], "done")
+    rig.report_all()
     rig.tick()
     assert len(rig.started()) == 2
     assert rig.stopped() == []
-    rig.end(rig.started()[1], "done")
-    rig.hear_all()
+    rig.complete(rig.started()[1], "done")
+    rig.report_all()
     rig.tick()
     assert len(rig.started()) == 3
 
@@ -205,7 +207,7 @@
     rig = _capped_rig(4_000)
     rig.accept("job", spec(StepSpec(2, FOUR)), organisation=MINE)
     rig.configuration = msgspec.structs.replace(rig.configuration, version=7, organisations=())
-    rig.scheduler.configured(rig.configuration)
+    rig.scheduler.apply_configuration(rig.configuration)
     rig.tick()
     assert len(rig.started()) == 1
 
@@ -223,8 +225,8 @@
     rig.accept("gang", spec(StepSpec(3, FOUR, gang=True)), organisation=MINE)
     rig.tick()
     assert len(rig.started()) == 1
-    rig.end(rig.started()[0], "done")
-    rig.hear_all()
+    rig.complete(rig.started()[0], "done")
+    rig.report_all()
     rig.tick()
     assert len(rig.started()) == 4
 
@@ -236,8 +238,8 @@
     rig.accept("gang", spec(StepSpec(3, FOUR, gang=True)), URGENT, MINE)
     rig.accept("second", spec(StepSpec(3, FOUR)), CHEAP, MINE)
     for start in list(rig.started()):
-        rig.end(start, "done")
-        rig.hear_all()
+        rig.complete(start, "done")
+        rig.report_all()
         rig.tick()
     started = [start.task.partition(".")[0] for start in rig.started()]
     assert started == ["first"] * 3 + ["gang"] * 3
@@ -247,7 +249,7 @@
     rig = _capped_rig(16_000, queues=(URGENT, CHEAP))
     rig.accept("first", spec(StepSpec(1, FOUR)), CHEAP, MINE)
     rig.tick()
-    rig.run(rig.started()[0])
+    rig.hold(rig.started()[0])
     rig.accept("gang", spec(StepSpec(4, FOUR, gang=True)), URGENT, MINE)
     rig.accept("second", spec(StepSpec(1, FOUR)), CHEAP, MINE)
     rig.tick()
@@ -279,7 +281,7 @@
         rig.tick(0.1)
     assert rig.stopped() == []
     rows = rig.scheduler.state.vms.values()
-    assert all(row.kept_until < rig.clock.time for row in rows)
+    assert all(row.reserved_until < rig.clock.time for row in rows)
 
 
 # -- Jobs beyond the cap ---------------------------------------------------------------------
@@ -297,18 +299,18 @@
 def test_a_job_that_never_fits_the_cap_is_refused_with_the_path_of_its_field(
     step: StepSpec, path: str
 ) -> None:
-    fault = cap_fault(spec(StepSpec(9, CORE), step), Shape(4_000, 2_000, 1))
+    fault = cap_error(spec(StepSpec(9, CORE), step), Shape(4_000, 2_000, 1))
     assert fault is not None
     assert fault.path == path
 
 
 def test_a_step_wider_than_its_cap_runs_in_waves() -> None:
-    assert cap_fault(spec(StepSpec(100, CORE)), Shape(4_000, 2_000, 1)) is None
+    assert cap_error(spec(StepSpec(100, CORE)), Shape(4_000, 2_000, 1)) is None
 
 
 def test_a_cap_of_nothing_is_no_limit() -> None:
-    assert cap_fault(spec(StepSpec(100, Shape(10**9), gang=True)), Shape()) is None
-    assert places_within(Shape(10**9), Shape(), Shape(10**9), Shape(), 0.0) == NO_LIMIT
+    assert cap_error(spec(StepSpec(100, Shape(10**9), gang=True)), Shape()) is None
+    assert remaining_places(Shape(10**9), Shape(), Shape(10**9), Shape(), 0.0) == NO_LIMIT
 
 
 SIZES = st.integers(0, 50)
@@ -319,7 +321,7 @@
 def test_places_keep_to_the_cap_and_leave_none_unused(
     shape: Shape, cap: Shape, taken: Shape, unseen: Shape, overage: float
 ) -> None:
-    places = places_within(shape, cap, taken, unseen, overage)
+    places = remaining_places(shape, cap, taken, unseen, overage)
     if places == NO_LIMIT:
         return
 
@@ -348,7 +350,7 @@
     rig = _capped_rig(8_000)
     rig.accept("job", spec(StepSpec(3, FOUR)), organisation=MINE)
     rig.running["w3"] = [RunReport("job.0.0.2", 7)]
-    rig.hear("w3")
+    rig.report("w3")
     rig.tick()
     assert len(rig.started()) == 1
 
--- a/tests/jobs/test_configuration_parts.py
+++ b/tests/jobs/test_configuration_parts.py
@@ -258,7 +258,7 @@
 
     link = LeaderLink(MemberSettings("m", "m", JobSettings()), Wires().port("m"), refuse)
     link.follow(LeaderRecord(1, "leader", "leader", "life"))
-    link._link, link.leads = leader, True  # type: ignore[assignment]
+    link._link, link.leader_active = leader, True  # type: ignore[assignment]
 
     def spawn(work: Coroutine[object, object, None]) -> "asyncio.Task[None]":
         return asyncio.get_running_loop().create_task(work)
@@ -323,7 +323,7 @@
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         feed = _feed(_OlderLeaderLink(_configuration(3)))
-        feed._link.leads = False
+        feed._link.leader_active = False
         started_at = loop.time()
         assert not await feed.wait_for_version(3, 0.4)
         assert loop.time() - started_at < 0.06
--- a/tests/jobs/test_confirmation_age.py
+++ b/tests/jobs/test_confirmation_age.py
@@ -10,7 +10,7 @@
 
 from sablemount.control.configuration_feed import ConfigurationFeed
 from sablemount.control.figures import Metrics
-from sablemount.control.leader_link import PING_TIMEOUT, LeaderLink
+from sablemount.control.leader_link import PING_TIMEOUT_S, LeaderLink
 from sablemount.control.member_settings import MemberSettings
 from sablemount.control.messages import LeaderRecord, Message, Pong, Reply
 from sablemount.jobs.model import Configuration
@@ -19,7 +19,7 @@
 from tests.emulator.network import Wires
 from tests.emulator.system import Codec
 
-ANSWER_DELAY_S = PING_TIMEOUT - 0.05
+ANSWER_DELAY_S = PING_TIMEOUT_S - 0.05
 
 
 class _SlowLink:
--- a/tests/jobs/test_counted_store.py
+++ b/tests/jobs/test_counted_store.py
@@ -6,7 +6,7 @@
 
 from sablemount.control.counted_store import CountedStore
 from sablemount.control.figures import Metrics
-from sablemount.control.progress import Progress
+from sablemount.control.progress import TransferProgress
 from sablemount.control.store import Page, Topic, Unavailable
 from tests.emulator.loop import run
 from tests.emulator.store import EmulatedStore, StoreState
@@ -18,7 +18,7 @@
         self._reason = reason
 
     async def newest(
-        self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
+        self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
     ) -> Page | Unavailable:
         return Unavailable(self._reason)
 
--- a/tests/jobs/test_crashes.py
+++ b/tests/jobs/test_crashes.py
@@ -6,7 +6,7 @@
 from sablemount.jobs.model import Shape, StepSpec
 from sablemount.jobs.records import VM_PREFIX, VmRecord, decode_progress, decode_vm
 from sablemount.jobs.sizes import progress_record, record_size
-from sablemount.jobs.systems.crashes import GIVEN_UP_IN_ANY_CASE
+from sablemount.jobs.systems.crashes import MAX_CRASHES
 from sablemount.jobs.tables import JobState, TaskRow
 from tests.jobs.rig import CORE, Rig, spec
 
@@ -16,14 +16,14 @@
 def _run_task(rig: Rig, name: str, step: StepSpec | None = None) -> TaskRow:
     """Submit a job and return its first task, running."""
     row = rig.accept(name, spec(step or StepSpec(1, CORE)))
-    rig.run_all()
+    rig.start_and_hold_all()
     return row.steps[TASK].tasks[0]
 
 
 def _crash(rig: Rig, vm: str) -> None:
     """Terminate a VM whose entry has been removed."""
-    rig.listed.remove(vm)
-    rig.scheduler.vms.died(vm)
+    rig.vm_names.remove(vm)
+    rig.scheduler.vms.incarnation_ended(vm)
 
 
 def test_a_crash_counts_for_all_that_ran_on_the_vm_and_for_nothing_else() -> None:
@@ -42,9 +42,9 @@
     task = _run_task(rig, "a")
     info = rig.scheduler.state.vms["w0"].info
     if how == "drained":
-        rig.scheduler.told(msgspec.structs.replace(info, draining=True))
+        rig.scheduler.update_vm(msgspec.structs.replace(info, draining=True))
     else:
-        rig.scheduler.vms.left_list("w0")
+        rig.scheduler.vms.entry_removed("w0")
         rig.wait(0.3)
     _crash(rig, "w0")
     assert task.crashes == []
@@ -54,11 +54,11 @@
     for machine, expected in (("", []), ("m1", ["w0"])):
         rig = Rig(vms=1)
         info = rig.scheduler.state.vms["w0"].info
-        rig.scheduler.told(msgspec.structs.replace(info, machine="m1"))
+        rig.scheduler.update_vm(msgspec.structs.replace(info, machine="m1"))
         task = _run_task(rig, "a")
-        rig.scheduler.vms.left_list("w0")
-        rig.listed.remove("w0")
-        rig.scheduler.told(msgspec.structs.replace(info, name="w0b", machine=machine))
+        rig.scheduler.vms.entry_removed("w0")
+        rig.vm_names.remove("w0")
+        rig.scheduler.update_vm(msgspec.structs.replace(info, name="w0b", machine=machine))
         rig.tick(8.0)
         rig.tick(0.6)
         assert task.crashes == expected
@@ -79,8 +79,8 @@
     vm = _run_task(rig, "a").runs[0].vm
     rig.commit()
     later = rig.successor()
-    later.listed.remove(vm)
-    later.scheduler.vms.died(vm)
+    later.vm_names.remove(vm)
+    later.scheduler.vms.incarnation_ended(vm)
     assert later.scheduler.state.jobs["a"].steps[TASK].tasks[0].crashes == [vm]
 
 
@@ -91,8 +91,8 @@
     rig.commit()
     rig.running[vm].clear()
     later = rig.successor()
-    later.hear(vm)
-    later.scheduler.vms.died(vm)
+    later.report(vm)
+    later.scheduler.vms.incarnation_ended(vm)
     assert later.scheduler.state.jobs["a"].steps[TASK].tasks[0].crashes == []
 
 
@@ -100,10 +100,10 @@
     rig = Rig(vms=4)
     vm = _run_task(rig, "a").runs[0].vm
     rig.wait(3.0)
-    rig.scheduler.journal.note_runs(rig.scheduler.state.vms[vm])
+    rig.scheduler.journal.update_vm_record(rig.scheduler.state.vms[vm])
     rig.commit()
     assert decode_vm(rig.store[VM_PREFIX + vm]).suspects == ()
-    rig.listed.remove(vm)
+    rig.vm_names.remove(vm)
     for _ in range(4):
         rig.wait(0.5)
     rig.commit()
@@ -124,7 +124,7 @@
     rig = Rig(vms=12)
     beside = _run_task(rig, "beside")
     bad = _run_task(rig, "bad")
-    for _ in range(GIVEN_UP_IN_ANY_CASE):
+    for _ in range(MAX_CRASHES):
         run = next(iter(bad.runs), None)
         if run is None or rig.scheduler.state.jobs["bad"].state.final:
             break
@@ -133,7 +133,7 @@
             rig.wait(0.3)
             rig.hold_all()
     assert rig.scheduler.state.jobs["bad"].state is JobState.FAILED
-    assert len(bad.crashes) <= GIVEN_UP_IN_ANY_CASE
+    assert len(bad.crashes) <= MAX_CRASHES
     assert beside.step.job.state is JobState.RUNNING
 
 
@@ -153,7 +153,7 @@
 def test_crashes_take_precedence_over_failures_in_a_full_record() -> None:
     rig = Rig(vms=1)
     row = rig.accept("a", spec(StepSpec(4_000, CORE, saves=True)))
-    row.watched = True
+    row.has_crashes = True
     for task in row.steps[TASK].tasks:
         task.failed_runs = {4_000_070_001}
         task.crashes = ["i-0123456789"]
@@ -168,16 +168,16 @@
 def test_a_noted_start_counts_once_its_machine_has_another_life_at_another_address() -> None:
     """Nothing answers at the VM's address, and its entry is gone before the later leader comes."""
     rig = Rig(vms=2)
-    for number, vm in enumerate(rig.listed):
+    for number, vm in enumerate(rig.vm_names):
         info = rig.scheduler.state.vms[vm].info
-        rig.scheduler.told(msgspec.structs.replace(info, machine=f"m{number}"))
+        rig.scheduler.update_vm(msgspec.structs.replace(info, machine=f"m{number}"))
     run = _run_task(rig, "a").runs[0]
     rig.commit()
     info = rig.scheduler.state.vms.pop(run.vm).info
     later = rig.successor()
-    later.listed.remove(run.vm)
-    later.scheduler.told(msgspec.structs.replace(info, name="again", address="elsewhere"))
-    later.listed.append("again")
+    later.vm_names.remove(run.vm)
+    later.scheduler.update_vm(msgspec.structs.replace(info, name="again", address="elsewhere"))
+    later.vm_names.append("again")
     for _ in range(20):
         later.wait(0.6)
     assert later.scheduler.state.jobs["a"].steps[TASK].tasks[0].crashes == [run.vm]
--- a/tests/jobs/test_crowded_lanes.py
+++ b/tests/jobs/test_crowded_lanes.py
@@ -28,7 +28,7 @@
 
     def __init__(self, vms: int, slots: int = SLOTS, permitted: bool = False) -> None:
         self.rig = Rig(vms=vms, queues=(QUICK, SLOW))
-        self.rig.scheduler.advice.set_lanes({f"l{number}" for number in range(slots)})
+        self.rig.scheduler.advice.set_call_slots({f"l{number}" for number in range(slots)})
         self._permitted = permitted
         self._in_flight: list[tuple[float, AskAdvice]] = []
         self._seen = 0
@@ -42,30 +42,32 @@
         for _ in range(round(seconds / ROUND_S)):
             for step in self.rig.scheduler.state.open_steps.values():
                 if step.key.startswith(prefix):
-                    advice.want(step, ["vm"])
+                    advice.request(step, ["vm"])
             self.advance(ROUND_S)
 
     def advance(self, seconds: float) -> None:
         """Advance the time, in rounds."""
         for _ in range(round(seconds / ROUND_S)):
-            self.rig.hear_all()
+            self.rig.report_all()
             self.rig.tick(ROUND_S)
             self._answer()
 
     def _answer(self) -> None:
-        asked = self.rig.asked()
+        asked = self.rig.advice_calls()
         now = self.rig.clock.time
-        self._in_flight += [(now + call.cost, call) for call in asked[self._seen :]]
+        self._in_flight += [(now + call.expected_s, call) for call in asked[self._seen :]]
         self._seen = len(asked)
         due = [row for row in self._in_flight if row[0] <= now]
         self._in_flight = [row for row in self._in_flight if row[0] > now]
         for _, call in due:
-            quick = self._permitted and call.cost < MAX_QUICK_CALL_S
+            quick = self._permitted and call.expected_s < MAX_QUICK_CALL_S
             permitted = dict.fromkeys(call.vms, "ticket") if quick else {}
-            self.rig.scheduler.advice.answered(call.lane, call.step, call.vms, permitted, 2000.0)
+            self.rig.scheduler.advice.answered(
+                call.call_slot, call.step, call.vms, permitted, 2000.0
+            )
 
     def calls_for(self, prefix: str) -> list[AskAdvice]:
-        return [call for call in self.rig.asked() if call.step.startswith(prefix)]
+        return [call for call in self.rig.advice_calls() if call.step.startswith(prefix)]
 
 
 def _congested(slow: int, slots: int = SLOTS) -> _Congestion:
@@ -90,7 +92,7 @@
     calm = cell.calls_for("calm")
     seconds = 2 * IDLE_LIMIT_S - OVERDUE_AFTER_S
     slots = SLOTS // OVERDUE_SLOT_DIVISOR
-    assert sum(call.cost for call in calm) <= slots * (seconds + calm[0].cost)
+    assert sum(call.expected_s for call in calm) <= slots * (seconds + calm[0].expected_s)
     assert len(cell.calls_for("urgent")) > 0.6 * (SLOTS - slots) * seconds / ROUND_S
 
 
@@ -153,7 +155,7 @@
     assert cell.calls_for("slow")
     assert not cell.calls_for("quick")
     for start in cell.rig.started():
-        cell.rig.end(start, "done")
+        cell.rig.complete(start, "done")
     cell.advance(0.6)
     assert cell.calls_for("quick")
 
@@ -166,8 +168,8 @@
 
 def test_no_advice_is_requested_on_a_vm_isolated_for_another_job() -> None:
     cell = _Congestion(vms=2)
-    cell.rig.scheduler.state.vms["w0"].trial = "other"
+    cell.rig.scheduler.state.vms["w0"].isolated_job = "other"
     cell.accept("quick", QUICK, StepSpec(8, HALF))
     cell.accept("slow", SLOW, StepSpec(8, HALF))
     cell.advance(0.3)
-    assert {vm for call in cell.rig.asked() for vm in call.vms} == {"w1"}
+    assert {vm for call in cell.rig.advice_calls() for vm in call.vms} == {"w1"}
--- a/tests/jobs/test_cut_off_leader.py
+++ b/tests/jobs/test_cut_off_leader.py
@@ -16,7 +16,7 @@
 from sablemount.jobs.model import JobSpec, Shape, StepSpec
 from tests.emulator.loop import run
 from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 TASK_SECONDS = 40.0
 CUT_VMS = 3
@@ -29,7 +29,7 @@
     """
     system = System(5, members=members)
     system.cell.seconds = TASK_SECONDS
-    leader = await begun(system, 1.0)
+    leader = await start_system(system, 1.0)
     step = StepSpec(count=6, shape=Shape(4_000, 1_000), expected_ms=TASK_SECONDS * 1000.0)
     for number in range(3):
         await system.submit(f"a{number}", JobSpec("payload", (step,)))
@@ -70,10 +70,10 @@
         leader = system.leader()
         assert leader is not None
         leadership = system.members[leader].leader
-        assert leadership is not None and leadership.authority()
+        assert leadership is not None and leadership.has_authority()
         system.kill(next(name for name in system.names if name != leader), None)
         await asyncio.sleep(3.0)
-        assert leadership.authority()
+        assert leadership.has_authority()
 
     run(scenario())
 
--- a/tests/jobs/test_discovery.py
+++ b/tests/jobs/test_discovery.py
@@ -5,13 +5,13 @@
 from sablemount.control.messages import Outcome
 from tests.emulator.loop import run
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 
 def test_members_without_the_store_follow_a_new_leader() -> None:
     async def scenario() -> None:
         system = System(70)
-        previous = await begun(system)
+        previous = await start_system(system)
         unserved = next(name for name in system.names if name != previous)
         # The leader is replaced, as it is without the store; another member cannot read by whom.
         system.store.turned_away |= {previous, unserved}
--- a/tests/jobs/test_doubt.py
+++ b/tests/jobs/test_doubt.py
@@ -7,7 +7,7 @@
 from sablemount.control.messages import ViewCall
 from tests.emulator.loop import run
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 MEMBERS = 40
 SILENT_MEMBERS = 4
@@ -33,7 +33,7 @@
 
 async def _silence_leader(seed: int) -> _ViewCountingSystem:
     system = _ViewCountingSystem(seed, members=MEMBERS, vms=2)
-    leader = await begun(system)
+    leader = await start_system(system)
     for name in [leader, *(name for name in system.names if name != leader)][:SILENT_MEMBERS]:
         system.power_off(name, 5.0)
     await asyncio.sleep(2.5)
--- a/tests/jobs/test_election.py
+++ b/tests/jobs/test_election.py
@@ -9,7 +9,7 @@
 from sablemount.control.election import LEADER_KEY, Election
 from sablemount.control.figures import Metrics
 from sablemount.control.leader_link import LeaderLink
-from sablemount.control.member import WATCH_INTERVAL
+from sablemount.control.member import CLAIM_CHECK_INTERVAL_S
 from sablemount.control.member_settings import MemberSettings
 from sablemount.control.messages import (
     LeaderRecord,
@@ -21,14 +21,14 @@
 )
 from sablemount.control.network import Link
 from sablemount.control.preload import Preload
-from sablemount.control.progress import Progress
+from sablemount.control.progress import TransferProgress
 from sablemount.control.store import AppendResult, Page, Topic, Unavailable
 from sablemount.jobs.records import Record
 from sablemount.jobs.settings import JobSettings
 from tests.emulator.loop import run
 from tests.emulator.network import Wires
 from tests.emulator.store import EmulatedStore, StoreState
-from tests.jobs.stores import ArrangedStore
+from tests.jobs.stores import InterceptingStore
 
 MAX_POLLS = 15
 """Polls of the leader topic in 20 s while the store refuses them: the pauses grow to some
@@ -42,7 +42,7 @@
 """Seconds that another member takes to return its view."""
 
 
-class _FirstAppendLost(ArrangedStore):
+class _FirstAppendLost(InterceptingStore):
     """Neither carries out nor answers the first append."""
 
     appends = 0
@@ -62,7 +62,7 @@
     polls = 0
 
     async def newest(
-        self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
+        self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
     ) -> Page | Unavailable:
         if topic is not Topic.LEADER or not self.refusing:
             return await super().newest(topic, after, timeout, progress)
@@ -100,7 +100,7 @@
             Metrics(),
             self._on_leader,
             self.won.append,
-            Preload(EmulatedStore(self.state, name)).begin,
+            Preload(EmulatedStore(self.state, name)).start,
             lambda: True,
         )
 
@@ -109,16 +109,16 @@
 
     async def claim(self) -> None:
         """Claim the first leadership; the first answer is lost."""
-        self.election.listed([], 0)
+        self.election.on_listed([], 0)
         await asyncio.sleep(0.5)
-        await self.election.consider()
+        await self.election.claim_if_due()
 
     def follow(self, leader: str) -> None:
         """Follow a leader, and know one other member, which does not hear that leader."""
         record = Record(LEADER_KEY, msgspec.msgpack.encode(LeaderRecord(1, leader, leader, "life")))
         self.state.topics[Topic.LEADER].add([record])
-        self.election.listed([], 0)
-        self.election.told([record], 1)
+        self.election.on_listed([], 0)
+        self.election.on_records([record], 1)
         self.link.addresses = {"third": "third"}
         self.wires.port("third").listen("third", _view_without_leader, lambda link: None)
 
@@ -127,8 +127,8 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + seconds
         while loop.time() < deadline and not self.won:
-            await self.election.consider()
-            await asyncio.sleep(WATCH_INTERVAL)
+            await self.election.claim_if_due()
+            await asyncio.sleep(CLAIM_CHECK_INTERVAL_S)
 
     async def unseen_claim(self) -> LeaderRecord:
         """Let another member win the next leadership, and return its record.
@@ -137,9 +137,9 @@
         """
         other_candidate = _Candidate(EmulatedStore, self.state, "rival")
         page = self.state.topics[Topic.LEADER].page("", 1)
-        other_candidate.election.listed(page.items, page.end)
+        other_candidate.election.on_listed(page.items, page.end)
         await asyncio.sleep(1.0)
-        await other_candidate.election.consider()
+        await other_candidate.election.claim_if_due()
         assert other_candidate.won == [2] and other_candidate.link.record is not None
         return other_candidate.link.record
 
@@ -148,7 +148,7 @@
         claim = LeaderRecord(1, "other", "other", "another life")
         record = Record(LEADER_KEY, msgspec.msgpack.encode(claim))
         self.state.topics[Topic.LEADER].add([record])
-        self.election.told([record], self.state.topics[Topic.LEADER].end)
+        self.election.on_records([record], self.state.topics[Topic.LEADER].end)
 
 
 def test_a_claim_whose_answer_was_lost_is_won_by_the_next_try() -> None:
@@ -178,7 +178,7 @@
         candidate = _Candidate()
         candidate.follow("other")
         await asyncio.sleep(1.0)
-        await candidate.election.consider()
+        await candidate.election.claim_if_due()
         assert candidate.won == [2]
 
     run(scenario())
@@ -192,9 +192,9 @@
         loop = asyncio.get_running_loop()
         pong = Pong(1, True, 0.0)
         loop.call_later(
-            VIEW_DELAY_S / 2, lambda: candidate.link.suspicion.heard(pong, loop.time(), 0.5)
+            VIEW_DELAY_S / 2, lambda: candidate.link.suspicion.on_pong(pong, loop.time(), 0.5)
         )
-        await candidate.election.consider()
+        await candidate.election.claim_if_due()
         assert candidate.won == []
         assert candidate.state.topics[Topic.LEADER].end == 1
 
--- a/tests/jobs/test_emulated.py
+++ b/tests/jobs/test_emulated.py
@@ -9,7 +9,7 @@
 from tests.emulator.loop import run
 from tests.emulator.mixes import play
 from tests.emulator.system import HOST, PREFIX, System
-from tests.jobs.running import mix
+from tests.jobs.running import fault_mix
 
 
 def test_calm() -> None:
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_mixes(seed: int) -> None:
-    assert run(play(100 + seed, mix(seed), advice=seed % 2 == 0)) == []
+    assert run(play(100 + seed, fault_mix(seed), advice=seed % 2 == 0)) == []
 
 
 def test_a_member_that_has_just_started_waits_a_moment_for_the_leader() -> None:
--- a/tests/jobs/test_emulated_cell.py
+++ b/tests/jobs/test_emulated_cell.py
@@ -11,13 +11,13 @@
 
 from tests.emulator.loop import run
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 
 def test_an_error_in_a_call_to_a_vm_fails_the_run() -> None:
     async def scenario() -> None:
         system = System(5)
-        leader = await begun(system)
+        leader = await start_system(system)
         system.cell.jobs.clear()
         await system.hand_in(leader, "a1")
         system.cell.jobs.clear()
@@ -32,7 +32,7 @@
 def test_a_job_that_is_handed_in_again_is_the_one_that_came_first(seed: int) -> None:
     async def scenario() -> None:
         system = System(seed)
-        leader = await begun(system)
+        leader = await start_system(system)
         await system.hand_in(leader, "a1")
         first = system.cell.jobs["a1"]
         for _ in range(5):
--- a/tests/jobs/test_emulated_organisations.py
+++ b/tests/jobs/test_emulated_organisations.py
@@ -5,7 +5,7 @@
 from tests.emulator import faults as kinds
 from tests.emulator.loop import run
 from tests.emulator.mixes import play_organisations
-from tests.jobs.running import mix
+from tests.jobs.running import fault_mix
 
 
 def test_calm() -> None:
@@ -19,4 +19,4 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_mixes(seed: int) -> None:
-    assert run(play_organisations(100 + seed, mix(seed), advice=seed % 2 == 0)) == []
+    assert run(play_organisations(100 + seed, fault_mix(seed), advice=seed % 2 == 0)) == []
--- a/tests/jobs/test_evacuation.py
+++ b/tests/jobs/test_evacuation.py
@@ -20,11 +20,11 @@
     rig.accept("job", spec(step))
     rig.tick()
     (start,) = rig.started()
-    rig.run(start, percent)
+    rig.hold(start, percent)
     rig.clock.time += 0.5
-    rig.hear_all()
+    rig.report_all()
     info = rig.scheduler.state.vms[start.vm].info
-    rig.scheduler.told(msgspec.structs.replace(info, draining=True, leaves_in=notice))
+    rig.scheduler.update_vm(msgspec.structs.replace(info, draining=True, leaves_in=notice))
     return rig
 
 
@@ -36,7 +36,7 @@
         found += [
             rig.clock.time - start_time for action in rig.tick(0.1) if isinstance(action, StopRun)
         ]
-        rig.hear_all()
+        rig.report_all()
     return found
 
 
@@ -66,16 +66,16 @@
 def test_an_earlier_report_of_a_longer_notice_is_ignored() -> None:
     rig = _draining_rig(SAVES)
     row = next(row for row in rig.scheduler.state.vms.values() if row.info.draining)
-    rig.scheduler.told(msgspec.structs.replace(row.info, leaves_in=9.0))
+    rig.scheduler.update_vm(msgspec.structs.replace(row.info, leaves_in=9.0))
     assert _stop_times(rig, NOTICE_S)
 
 
 def test_a_shorter_notice_does_not_count_as_a_change_of_the_vm() -> None:
     rig = _draining_rig(SAVES)
     row = next(row for row in rig.scheduler.state.vms.values() if row.info.draining)
-    changes = rig.scheduler.state.vms_changed
-    rig.scheduler.told(msgspec.structs.replace(row.info, leaves_in=0.5))
-    assert rig.scheduler.state.vms_changed == changes
+    changes = rig.scheduler.state.vms_version
+    rig.scheduler.update_vm(msgspec.structs.replace(row.info, leaves_in=0.5))
+    assert rig.scheduler.state.vms_version == changes
 
 
 def test_it_starts_elsewhere_with_what_it_saved() -> None:
@@ -83,7 +83,7 @@
     (start,) = rig.started()
     _stop_times(rig, NOTICE_S)
     rig.running[start.vm] = [row for row in rig.running[start.vm] if row.task != start.task]
-    rig.end(start, "stopped", saved="half")
+    rig.complete(start, "stopped", saved="half")
     rig.wait(0.1)
     restarted = rig.started()[-1]
     assert restarted.vm != start.vm
--- a/tests/jobs/test_evidence.py
+++ b/tests/jobs/test_evidence.py
@@ -5,8 +5,13 @@
 
 from sablemount.jobs.model import Shape, StepSpec, VmInfo
 from sablemount.jobs.records import PROGRESS_PREFIX, decode_progress
-from sablemount.jobs.systems.evidence import CONVICTING, KEPT_FOR, MOST_LOOKS, OPEN_FOR
-from sablemount.jobs.tables import CLEAR, JobState, TaskRow
+from sablemount.jobs.systems.evidence import (
+    ATTRIBUTION_THRESHOLD,
+    CRASH_RETENTION_S,
+    MAX_COMPARISONS,
+    MAX_SILENCE_S,
+)
+from sablemount.jobs.tables import MAX_CRASH_WEIGHT, JobState, TaskRow
 from tests.jobs.rig import CAPACITY, CORE, Rig, spec
 
 VMS = 8
@@ -15,15 +20,15 @@
 
 def _run_task(rig: Rig, name: str, shape: Shape = CORE) -> TaskRow:
     row = rig.accept(name, spec(StepSpec(1, shape)))
-    rig.run_all()
+    rig.start_and_hold_all()
     return row.steps[(0, 0)].tasks[0]
 
 
 def _crash(rig: Rig, *vms: str) -> None:
     """Terminate VMs at the same moment, and have the others report after it."""
     for vm in vms:
-        rig.listed.remove(vm)
-        rig.scheduler.vms.died(vm)
+        rig.vm_names.remove(vm)
+        rig.scheduler.vms.incarnation_ended(vm)
     rig.wait(0.4)
 
 
@@ -36,7 +41,7 @@
     task = _run_task(rig, "a")
     vm = _vm_of(task)
     _crash(rig, vm)
-    assert task.weight(vm) == CLEAR
+    assert task.crash_weight(vm) == MAX_CRASH_WEIGHT
 
 
 @pytest.mark.parametrize("count", [2, 4, VMS - 1])
@@ -44,22 +49,22 @@
     rig = Rig(vms=VMS)
     task = _run_task(rig, "a")
     vm = _vm_of(task)
-    others = [name for name in rig.listed if name != vm]
+    others = [name for name in rig.vm_names if name != vm]
     _crash(rig, vm, *others[: count - 1])
-    assert task.weight(vm) < {2: 2.1, 4: 1.1, VMS - 1: 0.4}[count]
+    assert task.crash_weight(vm) < {2: 2.1, 4: 1.1, VMS - 1: 0.4}[count]
 
 
 def test_vms_that_fall_silent_at_the_same_moment_count_as_crashed_in_the_end() -> None:
     rig = Rig(vms=VMS)
     task = _run_task(rig, "a")
     vm = _vm_of(task)
-    silent = [name for name in rig.listed if name != vm][:4]
+    silent = [name for name in rig.vm_names if name != vm][:4]
     for name in silent:
-        rig.listed.remove(name)
+        rig.vm_names.remove(name)
     _crash(rig, vm)
-    rig.wait(OPEN_FOR)
+    rig.wait(MAX_SILENCE_S)
     rig.wait(0.4)
-    assert task.weight(vm) < 1.0
+    assert task.crash_weight(vm) < 1.0
 
 
 def test_a_concurrent_crash_with_a_known_cause_does_not_lower_the_weight() -> None:
@@ -67,12 +72,12 @@
     rig = Rig(vms=VMS)
     suspect, other = _run_task(rig, "bad", WHOLE), _run_task(rig, "other", WHOLE)
     _crash(rig, _vm_of(suspect))
-    rig.run_all()
+    rig.start_and_hold_all()
     rig.wait(4.0)
     vms = _vm_of(suspect), _vm_of(other)
     assert vms[0] != vms[1]
     _crash(rig, *vms)
-    assert other.weight(vms[1]) == CLEAR
+    assert other.crash_weight(vms[1]) == MAX_CRASH_WEIGHT
 
 
 def test_a_crash_weighs_less_for_a_task_beside_one_with_more_evidence() -> None:
@@ -82,30 +87,30 @@
     assert _vm_of(neighbour) == vm
     suspect.crashes = ["gone0", "gone1"]
     _crash(rig, vm)
-    assert neighbour.weight(vm) < suspect.weight(vm)
+    assert neighbour.crash_weight(vm) < suspect.crash_weight(vm)
 
 
 def test_repeated_crashes_of_one_vm_count_once_in_the_evidence() -> None:
     rig = Rig(vms=VMS)
     task = _run_task(rig, "a")
     task.crashes = ["w0/1", "w0/2", "w1/1"]
-    task.weights = {"w0/1": 1.0, "w0/2": 2.0}
-    assert task.evidence() == 2.0 + CLEAR
-    assert task.evidence(but="w0/2") == 1.0 + CLEAR
+    task.crash_weights = {"w0/1": 1.0, "w0/2": 2.0}
+    assert task.evidence() == 2.0 + MAX_CRASH_WEIGHT
+    assert task.evidence(excluded_vm="w0/2") == 1.0 + MAX_CRASH_WEIGHT
 
 
 def test_many_crashes_at_once_are_weighed_in_several_rounds() -> None:
     """If all VMs of a large cell are lost at once, a single round would take minutes."""
     rig = Rig(vms=600)
     rig.accept("a", spec(StepSpec(600, WHOLE)))
-    rig.run_all()
+    rig.start_and_hold_all()
     evidence = rig.scheduler.crashes._evidence
-    for vm in list(rig.listed):
-        rig.scheduler.vms.died(vm)
-    rig.listed.clear()
+    for vm in list(rig.vm_names):
+        rig.scheduler.vms.incarnation_ended(vm)
+    rig.vm_names.clear()
     evidence.weigh()
     weighed = [crash for crash in evidence._crashes.values() if crash.weighed_at > 0]
-    assert 0 < len(weighed) <= MOST_LOOKS // 600
+    assert 0 < len(weighed) <= MAX_COMPARISONS // 600
     for _ in range(3 * 600 // len(weighed)):
         evidence.weigh()
     assert all(crash.weighed_at > 0 for crash in evidence._crashes.values())
@@ -115,12 +120,12 @@
     rig = Rig(vms=VMS)
     task = _run_task(rig, "a")
     vm = _vm_of(task)
-    rig.listed.remove(vm)
-    rig.scheduler.vms.died(vm)
-    rig.clock.time += KEPT_FOR + 0.1
-    rig.scheduler.now()
+    rig.vm_names.remove(vm)
+    rig.scheduler.vms.incarnation_ended(vm)
+    rig.clock.time += CRASH_RETENTION_S + 0.1
+    rig.scheduler.update_time()
     rig.scheduler.crashes._evidence.weigh()
-    assert task.weight(vm) == 0.0
+    assert task.crash_weight(vm) == 0.0
 
 
 def test_an_isolated_crash_beside_many_others_does_not_fail_the_job() -> None:
@@ -129,11 +134,11 @@
     task = _run_task(rig, "a")
     vm = _vm_of(task)
     task.crashes = ["gone0", "gone1"]
-    task.weights = {"gone0": 2.6, "gone1": 1.7}
-    rig.scheduler.state.vms[vm].trial = "a"
-    _crash(rig, vm, *[name for name in rig.listed if name != vm][:3])
-    rig.wait(OPEN_FOR)
-    assert 0.5 < task.weight(vm) < 1.1
+    task.crash_weights = {"gone0": 2.6, "gone1": 1.7}
+    rig.scheduler.state.vms[vm].isolated_job = "a"
+    _crash(rig, vm, *[name for name in rig.vm_names if name != vm][:3])
+    rig.wait(MAX_SILENCE_S)
+    assert 0.5 < task.crash_weight(vm) < 1.1
     assert task.step.job.state is not JobState.FAILED
 
 
@@ -141,13 +146,13 @@
     rig = Rig(vms=VMS)
     task = _run_task(rig, "a")
     vm = _vm_of(task)
-    _crash(rig, vm, *[name for name in rig.listed if name != vm][:4])
+    _crash(rig, vm, *[name for name in rig.vm_names if name != vm][:4])
     rig.commit()
     recorded = decode_progress(rig.store[PROGRESS_PREFIX + "a"])
-    assert recorded.weights == {"0.0.0": (task.weight(vm),)}
+    assert recorded.weights == {"0.0.0": (task.crash_weight(vm),)}
     later = rig.successor()
     restored = later.scheduler.state.jobs["a"].steps[(0, 0)].tasks[0]
-    assert restored.weight(vm) == task.weight(vm) < CLEAR
+    assert restored.crash_weight(vm) == task.crash_weight(vm) < MAX_CRASH_WEIGHT
 
 
 def test_crashes_in_a_record_without_weights_count_in_full() -> None:
@@ -155,21 +160,21 @@
     rig = Rig(vms=VMS)
     row = rig.accept("a", spec(StepSpec(1, CORE)))
     rig.scheduler.crashes.restore(row, decode_progress(recorded))
-    assert row.steps[(0, 0)].tasks[0].evidence() == CLEAR
+    assert row.steps[(0, 0)].tasks[0].evidence() == MAX_CRASH_WEIGHT
 
 
 def _add_vms(rig: Rig, names: list[str]) -> None:
     for name in names:
-        rig.listed.append(name)
-        rig.scheduler.told(VmInfo(name, f"at-{name}", "pool", CAPACITY))
-    rig.hear_all()
+        rig.vm_names.append(name)
+        rig.scheduler.update_vm(VmInfo(name, f"at-{name}", "pool", CAPACITY))
+    rig.report_all()
     rig.tick(1.0)
     rig.commit()
 
 
 def _wait_until_running(rig: Rig, task: TaskRow) -> None:
     for _ in range(40):
-        rig.run_all()
+        rig.start_and_hold_all()
         if task.runs:
             return
         rig.wait(0.3)
@@ -182,10 +187,10 @@
     task = _run_task(rig, "a")
     for number in range(4):
         vm = _vm_of(task)
-        others = [name for name in rig.listed if name != vm]
+        others = [name for name in rig.vm_names if name != vm]
         _crash(rig, vm, *others[:3])
         _add_vms(rig, [f"v{number}{each}" for each in range(4)])
         _wait_until_running(rig, task)
     assert len(task.crashes) == 4
-    assert task.evidence() < CONVICTING
+    assert task.evidence() < ATTRIBUTION_THRESHOLD
     assert task.step.job.state is not JobState.FAILED
--- a/tests/jobs/test_first_appends.py
+++ b/tests/jobs/test_first_appends.py
@@ -20,13 +20,13 @@
 from sablemount.jobs.records import Record
 from tests.emulator.loop import run
 from tests.emulator.store import EmulatedStore, StoreState
-from tests.jobs.stores import ArrangedStore
+from tests.jobs.stores import InterceptingStore
 
 ACCEPTED = Record("j/accepted", b"job")
 NEXT = Record("j/next", b"job")
 
 
-class _LateFirstStore(ArrangedStore):
+class _LateFirstStore(InterceptingStore):
     """Delays or loses the first append that contains a given record."""
 
     def __init__(self, state: StoreState, delayed: Record, lost: bool) -> None:
--- a/tests/jobs/test_hand_over.py
+++ b/tests/jobs/test_hand_over.py
@@ -5,7 +5,7 @@
 from sablemount.control.messages import CallerReply, Outcome
 from tests.emulator.loop import run
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 SUBMIT_INTERVAL_S = 0.01
 
@@ -13,7 +13,7 @@
 async def _start_with_leader(seed: int) -> tuple[System, str]:
     """Return a system that has a leader, and the leader's name."""
     system = System(seed)
-    leader = await begun(system)
+    leader = await start_system(system)
     return system, leader
 
 
@@ -91,7 +91,7 @@
 def test_a_leader_that_reaches_nobody_stops_in_time() -> None:
     async def scenario() -> None:
         system = System(15, members=9)
-        leader = await begun(system)
+        leader = await start_system(system)
         for name in system.names:
             if name != leader:
                 system.wires.cuts.add(frozenset((leader, name)))
--- a/tests/jobs/test_health.py
+++ b/tests/jobs/test_health.py
@@ -20,7 +20,7 @@
         for row in list(rig.running.get(vm, [])):
             rows = rig.running[vm]
             rows[rows.index(row)] = type(row)(row.task, row.run, "", row.percent + progress)
-    rig.hear_all()
+    rig.report_all()
     rig.tick()
 
 
@@ -30,8 +30,8 @@
         rig.accept(f"job{number}", spec(StepSpec(1, CORE)))
     rig.tick()
     for start in rig.started():
-        rig.end(start, "failed")
-    rig.hear_all()
+        rig.complete(start, "failed")
+    rig.report_all()
     assert rig.tick() == []
     assert rig.scheduler.state.vms["w0"].avoid_until > rig.clock.time
     rig.wait(1.5)
@@ -43,8 +43,8 @@
     rig.accept("job", spec(StepSpec(3, WHOLE)))
     rig.tick()
     for start in rig.started():
-        rig.end(start, "failed")
-    rig.hear_all()
+        rig.complete(start, "failed")
+    rig.report_all()
     rows = rig.scheduler.state.vms.values()
     assert all(row.avoid_until < rig.clock.time for row in rows)
 
--- a/tests/jobs/test_held_back.py
+++ b/tests/jobs/test_held_back.py
@@ -20,7 +20,7 @@
 def _advance_busy(rig: Rig, seconds: float) -> None:
     """Advance the time while capacity is freed in every round."""
     for _ in range(round(seconds / ROUND_S)):
-        rig.scheduler.state.freed += 1
+        rig.scheduler.state.capacity_version += 1
         rig.wait(ROUND_S)
 
 
@@ -34,9 +34,9 @@
     caplog.set_level(logging.INFO)
     rig = Rig(vms=3)
     rig.accept("full", spec(StepSpec(1, WHOLE_VM)))
-    rig.run_all()
-    rig.scheduler.state.vms["w1"].trial = "other"
-    rig.scheduler.state.vms["w2"].refused_since = rig.clock.time + 100.0
+    rig.start_and_hold_all()
+    rig.scheduler.state.vms["w1"].isolated_job = "other"
+    rig.scheduler.state.vms["w2"].connections_refused_since = rig.clock.time + 100.0
     rig.accept("late", spec(StepSpec(1, CORE)))
     _advance_busy(rig, LOG_WAIT_AFTER_S + 2 * LOG_WAIT_INTERVAL_S)
     (line,) = [line for line in _wait_lines(caplog) if line["step"] == "late.0.0"]
@@ -70,7 +70,7 @@
     caplog.set_level(logging.INFO)
     rig = Rig(vms=1)
     rig.accept("full", spec(StepSpec(1, WHOLE_VM)))
-    rig.run_all()
+    rig.start_and_hold_all()
     names = [f"late{number}" for number in range(3 * MAX_LOGGED_STEPS)]
     for name in names:
         rig.accept(name, spec(StepSpec(1, CORE)))
--- a/tests/jobs/test_large_configuration.py
+++ b/tests/jobs/test_large_configuration.py
@@ -24,8 +24,8 @@
 """Approximate rate of a small link of 5 Mbit/s."""
 LARGE_LINK_BYTES_PER_S = 12_000_000.0
 """Approximate rate of a large link of 100 Mbit/s."""
-SMALL_MACHINE = MachineLimits(link=5.0)
-LARGE_MACHINE = MachineLimits(link=100.0)
+SMALL_MACHINE = MachineLimits(link_mbps=5.0)
+LARGE_MACHINE = MachineLimits(link_mbps=100.0)
 QUEUES = 4_245
 SUSPECTED_AFTER_S = 0.6
 """Time without an answer after which a leader is suspected."""
@@ -72,7 +72,7 @@
     """Return the longest time for which any member has had no heartbeat of the leader."""
     now = asyncio.get_running_loop().time()
     others = (member for name, member in system.members.items() if name != leader)
-    return max(member._link.suspicion.heard_age(now) for member in others)
+    return max(member._link.suspicion.silent_for(now) for member in others)
 
 
 async def _wait_until(
@@ -88,11 +88,11 @@
 
 
 def _sent_bytes(system: System, name: str) -> int:
-    return system.members[name].figures.counters[("configuration_bytes", "sent")]
+    return system.members[name].metrics.counters[("configuration_bytes", "sent")]
 
 
 def _parts_served(system: System, name: str) -> int:
-    return system.members[name].figures.counters[("configuration_part", "served")]
+    return system.members[name].metrics.counters[("configuration_part", "served")]
 
 
 # -- From the leader -------------------------------------------------------------------------
@@ -168,10 +168,10 @@
         system.wires.cuts.discard(cut)
         await _wait_until(lambda: not _behind(system, 18), 10.0, lambda: None)
         assert not _behind(system, 18)
-        received = system.members[behind].figures.counters[("configuration_bytes", "got")]
+        received = system.members[behind].metrics.counters[("configuration_bytes", "got")]
         assert _sent_bytes(system, leader) < 1.2 * received
         assert system.leader() == leader
-        counters = system.members[behind].figures.counters
+        counters = system.members[behind].metrics.counters
         assert counters[("configuration_transfer", "begun")] == 1
         assert counters[("configuration_transfer", "ended")] == 1
 
@@ -206,7 +206,7 @@
         assert not _behind(system, 18)
         next_leader = system.leader()
         assert next_leader is not None
-        received = system.members[behind].figures.counters[("configuration_bytes", "got")]
+        received = system.members[behind].metrics.counters[("configuration_bytes", "got")]
         assert sent_before + _sent_bytes(system, next_leader) < 1.2 * received
 
     run(scenario())
@@ -279,7 +279,7 @@
         assert not _behind(system, 18)
         assert max(durations) < 0.45
         assert min(durations) < 0.1
-        received = system.members[behind].figures.counters[("configuration_bytes", "got")]
+        received = system.members[behind].metrics.counters[("configuration_bytes", "got")]
         assert _sent_bytes(system, leader) < 4.4 * received
 
     run(scenario())
--- a/tests/jobs/test_large_rounds.py
+++ b/tests/jobs/test_large_rounds.py
@@ -69,7 +69,7 @@
     rig.scheduler.submit("last", USUAL, spec(StepSpec(1, CORE)))
     rig.commit()
     for _ in range(JOBS):
-        rig.scheduler.state.freed += 1
+        rig.scheduler.state.capacity_version += 1
         rig.tick()
     assert [start.task for start in rig.started()] == ["last.0.0.0"]
 
@@ -84,9 +84,9 @@
     rig.commit()
     # A new leader has not had reports of all VMs yet, so no task of a previous one may start.
     monkeypatch.setattr(rig.scheduler.vms, "all_reported", lambda: False)
-    rig.scheduler.state.former_settled = False
+    rig.scheduler.state.previous_runs_settled = False
     for job in rig.scheduler.state.jobs.values():
-        job.former = True
+        job.from_previous_leader = True
     evaluations = 0
     unknown = rig.scheduler.advice.unknown
 
@@ -108,18 +108,18 @@
     rig = _waiting_rig(0)
     whole_vm = rig.scheduler.state.vms["w0"].info.capacity
     rig.accept("full", spec(StepSpec(VMS, whole_vm)), URGENT)
-    rig.run_all()
+    rig.start_and_hold_all()
     rig.scheduler.submit("gang", URGENT, spec(StepSpec(2, whole_vm, gang=True)))
     for number in range(JOBS):
         rig.scheduler.submit(f"late{number}", USUAL, spec(StepSpec(2, whole_vm, gang=True)))
     rig.commit()
-    rig.scheduler.state.freed += 1
+    rig.scheduler.state.capacity_version += 1
     rig.tick()
     assert rig.scheduler.placement.unfinished
     before = len(rig.started())
     for start in rig.started()[:2]:
-        rig.end(start, "done")
-        rig.hear(start.vm)
+        rig.complete(start, "done")
+        rig.report(start.vm)
     rig.tick()
     assert {start.task for start in rig.started()[before:]} == {"gang.0.0.0", "gang.0.0.1"}
 
@@ -128,7 +128,7 @@
     rig = _waiting_rig(0)
     whole_vm = rig.scheduler.state.vms["w0"].info.capacity
     rig.accept("full", spec(StepSpec(VMS, whole_vm, expected_ms=60_000.0)), USUAL)
-    rig.run_all()
+    rig.start_and_hold_all()
     rig.accept("gang", spec(StepSpec(2, whole_vm, expected_ms=60_000.0, gang=True)), URGENT)
     for number in range(JOBS):
         rig.scheduler.submit(f"late{number}", USUAL, spec(StepSpec(2, whole_vm, gang=True)))
@@ -136,7 +136,7 @@
     unfinished = 0
     for _ in range(100):
         # Capacity that is freed all the time prevents a pass from ending.
-        rig.scheduler.state.freed += 1
+        rig.scheduler.state.capacity_version += 1
         rig.tick(0.05)
         unfinished += rig.scheduler.placement.unfinished
         if rig.stopped():
--- a/tests/jobs/test_late_word.py
+++ b/tests/jobs/test_late_word.py
@@ -8,7 +8,7 @@
 import asyncio
 import random
 
-from sablemount.control.authority import AUTHORITY_TIME
+from sablemount.control.authority import AUTHORITY_VALIDITY_S
 from sablemount.control.clock import monotonic
 from sablemount.control.commit import Committer
 from sablemount.control.store import AppendResult, Producer, Topic
@@ -50,8 +50,8 @@
         await Committer(EmulatedStore(state, "later"), 2, random.Random(3)).open()
         began = monotonic()
         await confirming
-        requests_end = previous.confirmed_at + AUTHORITY_TIME
-        assert requests_end <= began + JobSettings().takeover_margin
+        requests_end = previous.confirmed_at + AUTHORITY_VALIDITY_S
+        assert requests_end <= began + JobSettings().takeover_margin_s
 
     run(scenario())
 
--- a/tests/jobs/test_load.py
+++ b/tests/jobs/test_load.py
@@ -30,36 +30,36 @@
 
 def test_what_is_read_again_is_no_progress() -> None:
     progress = LoadProgress()
-    progress.again()
-    progress.kept(10)
-    progress.kept(10)
+    progress.start_attempt()
+    progress.on_complete_answer(10)
+    progress.on_complete_answer(10)
     for _ in range(3):
-        progress.again()
-        progress.kept(10)
-        progress.arrived(9)
-        assert progress.far == 20
-    progress.arrived(11)
-    assert progress.far == 21
+        progress.start_attempt()
+        progress.on_complete_answer(10)
+        progress.on_partial_answer(9)
+        assert progress.high_water_bytes == 20
+    progress.on_partial_answer(11)
+    assert progress.high_water_bytes == 21
 
 
 def test_a_part_of_an_answer_counts_once() -> None:
     progress = LoadProgress()
-    progress.arrived(4)
-    progress.arrived(3)
-    assert progress.far == 4
-    progress.kept(5)
-    assert progress.far == 5
-    progress.arrived(1)
-    assert progress.far == 6
+    progress.on_partial_answer(4)
+    progress.on_partial_answer(3)
+    assert progress.high_water_bytes == 4
+    progress.on_complete_answer(5)
+    assert progress.high_water_bytes == 5
+    progress.on_partial_answer(1)
+    assert progress.high_water_bytes == 6
 
 
 def test_a_leadership_begins_with_what_was_read_of_late() -> None:
     progress = LoadProgress()
-    progress.kept(100)
-    progress.again()
-    progress.kept(10)
-    progress.begin()
-    assert progress.far == 10
+    progress.on_complete_answer(100)
+    progress.start_attempt()
+    progress.on_complete_answer(10)
+    progress.start_leadership()
+    assert progress.high_water_bytes == 10
 
 
 def test_pages_read_before_and_after_the_claim_are_progress() -> None:
@@ -68,16 +68,16 @@
         state.latency = 0.1
         progress = LoadProgress()
         preload = Preload(LoadStore(EmulatedStore(state, "m"), progress))
-        preload.begin()
+        preload.start()
         await asyncio.sleep(0.15)
-        progress.begin()
-        before = progress.far
+        progress.start_leadership()
+        before = progress.high_water_bytes
         assert before > 0
         committer = Committer(EmulatedStore(state, "m"), 1, random.Random(3))
         load = Load(1, EmulatedStore(state, "m"), progress, Metrics())
         records = await load.run(committer, preload.take())
         assert len(records) == KEYS
-        assert progress.far > before
+        assert progress.high_water_bytes > before
 
     run(scenario())
 
--- a/tests/jobs/test_lost_writes.py
+++ b/tests/jobs/test_lost_writes.py
@@ -8,7 +8,7 @@
 from sablemount.control.messages import Outcome
 from tests.emulator.loop import run
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 JOBS = 80
 
@@ -19,7 +19,7 @@
     25 jobs per second are submitted while the store loses a share of its writes.
     """
     system = System(seed, members=6)
-    leader = await begun(system)
+    leader = await start_system(system)
     system.store.lost = lost
     system.store.late = late
     durations: list[float] = []
--- a/tests/jobs/test_making_room.py
+++ b/tests/jobs/test_making_room.py
@@ -30,7 +30,7 @@
     first = StepSpec(1, HALF, expected_ms=2000.0)
     job = rig.accept("a", spec(first, StepSpec(1, HALF, expected_ms=1000.0, after=(0,))), URGENT)
     urgency = Urgency(rig.scheduler.state)
-    assert [step.chain for step in job.steps.values()] == [3.0, 1.0]
+    assert [step.critical_path_s for step in job.steps.values()] == [3.0, 1.0]
     # The stretch is 2 and the target 1 s.
     assert round(urgency.slack(job.steps[(0, 0)]), 6) == 4.0
 
@@ -48,9 +48,9 @@
     rig = _full_rig()
     rig.accept("quote", spec(StepSpec(1, HALF, expected_ms=3000.0)), URGENT)
     rig.clock.time += 1.0
-    rig.hear_all()
-    rig.scheduler.now()
-    actions = rig.scheduler.tick(noting=False)
+    rig.report_all()
+    rig.scheduler.update_time()
+    actions = rig.scheduler.tick(store_answers=False)
     assert not any(isinstance(action, StopRun) for action in actions)
     rig.tick(0.05)
     assert len(rig.stopped()) == 1
@@ -85,8 +85,8 @@
 
 def _suspect(rig: Rig, job: JobRow) -> None:
     """Make a job's tasks suspects, as after the crash of a VM that they ran on."""
-    job.watched = True
-    rig.scheduler.state.suspected[job.name] = job
+    job.has_crashes = True
+    rig.scheduler.state.suspected_jobs[job.name] = job
     for step in job.steps.values():
         for task in step.tasks:
             task.crashes = ["gone"]
@@ -101,7 +101,7 @@
     for _ in range(5):
         rig.tick(0.05)
     vms = rig.scheduler.state.vms
-    assert vms["w1"].kept_until < rig.clock.time
+    assert vms["w1"].reserved_until < rig.clock.time
     calm = rig.accept("calm", spec(StepSpec(1, HALF)), CHEAP)
     rig.tick()
     assert [run.vm for task in calm.steps[(0, 0)].tasks for run in task.runs] == ["w1"]
--- a/tests/jobs/test_many_vms.py
+++ b/tests/jobs/test_many_vms.py
@@ -4,7 +4,7 @@
 
 from sablemount.control.ports import CallError, HoldCall, HoldResult, Started
 from sablemount.control.vm_calls import HOLD_WAIT_S, VmCalls
-from sablemount.jobs.actions import Heard, StartRun
+from sablemount.jobs.actions import StartRun, VmReport
 from sablemount.jobs.model import StepSpec
 from sablemount.jobs.settings import JobSettings
 from tests.emulator.loop import run, spend
@@ -23,7 +23,7 @@
 """Interval of the other work of the process."""
 MAX_GAP_S = 0.15
 """Longest permitted gap between runs of the other work: half of the time-out of a member's ping."""
-REPORT_MAX_AGE_S = JobSettings().fresh
+REPORT_MAX_AGE_S = JobSettings().max_report_age_s
 
 
 class _BusyPort:
@@ -59,7 +59,7 @@
             return CallError.NO_ANSWER
         self.connected.add(call.address)
         self._spend(SEND_TIME_S)
-        return Heard(call.vm, sent_at, loop.time() * 1000.0, (), ())
+        return VmReport(call.vm, sent_at, loop.time() * 1000.0, (), ())
 
     async def start(
         self, action: StartRun, address: str, fence: int, until_ms: int, timeout: float
@@ -81,7 +81,7 @@
     def __init__(self, vms: int) -> None:
         self.rig = rig = Rig(vms=0)
         rig.clock.monotonic = asyncio.get_running_loop().time  # type: ignore[method-assign]
-        rig.scheduler.now()
+        rig.scheduler.update_time()
         self.port = _BusyPort()
         self.authority = True
         recorded = asyncio.get_running_loop().create_future
@@ -94,7 +94,7 @@
             lambda: None,
             recorded,
         )
-        rig.list_vms(vms)
+        rig.add_entries(vms)
         self.rows = list(rig.scheduler.state.vms.values())
         self.longest_gap = 0.0
 
@@ -112,7 +112,7 @@
         leader = _Leader(VMS)
         leader.calls.poll_new_vms()
         await leader.run_other_work(4.0)
-        assert all(row.first_heard_at > 0 for row in leader.rows)
+        assert all(row.first_report_at > 0 for row in leader.rows)
         assert leader.port.failed == 0
         assert leader.longest_gap < MAX_GAP_S
         leader.calls.close()
@@ -143,7 +143,7 @@
         await leader.run_other_work(6.0)
         assert leader.port.processor_time - before < 0.5 * 6.0
         now = asyncio.get_running_loop().time()
-        assert max(now - row.heard_at for row in leader.rows) < REPORT_MAX_AGE_S
+        assert max(now - row.last_report_at for row in leader.rows) < REPORT_MAX_AGE_S
         leader.calls.close()
 
     run(scenario())
--- a/tests/jobs/test_may_miss.py
+++ b/tests/jobs/test_may_miss.py
@@ -25,7 +25,7 @@
 
 def _drain(rig: Rig, notice: float) -> None:
     info = rig.scheduler.state.vms["w0"].info
-    rig.scheduler.told(msgspec.structs.replace(info, draining=True, leaves_in=notice))
+    rig.scheduler.update_vm(msgspec.structs.replace(info, draining=True, leaves_in=notice))
 
 
 LONG_RUNNING = StepSpec(3, THIRD, lasting=True, may_miss=1)
@@ -47,13 +47,13 @@
     _drain(rig, NOTICE_S)
     rig.tick(0.2)
     (stop,) = rig.stopped()
-    rig.end(next(start for start in rig.started() if start.task == stop.task), "stopped")
-    rig.hear_all()
+    rig.complete(next(start for start in rig.started() if start.task == stop.task), "stopped")
+    rig.report_all()
     rig.tick(0.2)
     restarted = rig.started()[-1]
     assert (restarted.task, restarted.vm) == (stop.task, "w1")
-    rig.run(restarted, 100.0)
-    rig.hear_all()
+    rig.hold(restarted, 100.0)
+    rig.report_all()
     rig.tick(0.2)
     assert len(rig.stopped()) == 2
 
--- a/tests/jobs/test_narrow_cell.py
+++ b/tests/jobs/test_narrow_cell.py
@@ -7,7 +7,7 @@
 from tests.emulator.loop import run
 from tests.emulator.narrow import NarrowLink
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 LINK_BYTES_PER_S = 625_000
 """Capacity of each member's link."""
@@ -30,7 +30,7 @@
 def test_each_version_that_grows_is_known_to_all_and_read_once() -> None:
     async def scenario() -> None:
         system = _system_with_narrow_links(1)
-        await begun(system)
+        await start_system(system)
         for version in (2, 3, 4):
             before = {name: link.carried for name, link in system.links.items()}
             system.configure(version, idle=IDLE_QUEUES)
@@ -48,7 +48,7 @@
 def test_a_member_takes_over_beside_a_configuration_that_is_long() -> None:
     async def scenario() -> None:
         system = _system_with_narrow_links(2)
-        leader = await begun(system)
+        leader = await start_system(system)
         system.configure(2, idle=IDLE_QUEUES)
         await asyncio.sleep(20.0)
         system.kill(leader, back_after=None)
@@ -64,7 +64,7 @@
 def test_a_member_that_starts_reads_the_long_configuration() -> None:
     async def scenario() -> None:
         system = _system_with_narrow_links(3)
-        leader = await begun(system)
+        leader = await start_system(system)
         system.configure(2, idle=IDLE_QUEUES)
         await asyncio.sleep(READ_LIMIT_S)
         other = next(name for name in system.names if name != leader)
