--- a/tests/jobs/test_narrow_links.py
+++ b/tests/jobs/test_narrow_links.py
@@ -9,8 +9,8 @@
 from sablemount.control.commit import Committer
 from sablemount.control.follow import Follower
 from sablemount.control.pages import MAX_KEY, read_newest
-from sablemount.control.preload import FRESH, Preload, load_records
-from sablemount.control.progress import Progress
+from sablemount.control.preload import MAX_AGE_S, Preload, load_records
+from sablemount.control.progress import TransferProgress
 from sablemount.control.store import Page, PageItem, Topic, Unavailable
 from sablemount.jobs.records import Record
 from tests.emulator.loop import run
@@ -138,7 +138,7 @@
     calls = 0
 
     async def newest(
-        self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
+        self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
     ) -> Page | Unavailable:
         self.calls += 1
         await asyncio.sleep(timeout if self.calls == 1 else 0.005)
@@ -160,10 +160,10 @@
         records = [Record(f"k{number:05d}", b"x" * 2_000) for number in range(2_500)]
         state.topics[Topic.JOBS].add(records)
         preload = Preload(NarrowStore(state, "m", NarrowLink(LINK_BYTES_PER_S)))
-        reading = preload.begin()
-        await asyncio.sleep(2 * FRESH)
+        reading = preload.start()
+        await asyncio.sleep(2 * MAX_AGE_S)
         assert not reading.done()
-        assert preload.begin() is reading
+        assert preload.start() is reading
         assert preload.take() is reading
         assert await reading is not None
 
@@ -175,13 +175,13 @@
         preload = Preload(
             NarrowStore(StoreState(random.Random(1)), "m", NarrowLink(LINK_BYTES_PER_S))
         )
-        reading = preload.begin()
+        reading = preload.start()
         await reading
-        await asyncio.sleep(FRESH + 0.1)
-        newer = preload.begin()
+        await asyncio.sleep(MAX_AGE_S + 0.1)
+        newer = preload.start()
         assert newer is not reading
         await newer
-        await asyncio.sleep(FRESH + 0.1)
+        await asyncio.sleep(MAX_AGE_S + 0.1)
         assert preload.take() is None
 
 
@@ -198,7 +198,7 @@
         return self._reset_at - asyncio.get_running_loop().time()
 
     async def newest(
-        self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
+        self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
     ) -> Page | Unavailable:
         await asyncio.sleep(timeout if after == MAX_KEY else max(0.0, self.remaining_s))
         return Unavailable("the connection was reset")
@@ -219,7 +219,7 @@
         """Recovers a second after the reset."""
 
         async def newest(
-            self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
+            self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
         ) -> Page | Unavailable:
             if self.remaining_s > -1.0:
                 return await super().newest(topic, after, timeout, progress)
--- a/tests/jobs/test_next_life.py
+++ b/tests/jobs/test_next_life.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from sablemount.jobs.actions import LookAt, OtherLife, StartRun, StopRun
+from sablemount.jobs.actions import LaterIncarnation, PollVm, StartRun, StopRun
 from sablemount.jobs.model import Shape, StepSpec, VmInfo
 from sablemount.jobs.records import Record, VmRecord, encode
 from sablemount.jobs.scheduler import StartRefusal
@@ -29,9 +29,9 @@
 
 
 def _add_vm(rig: Rig, info: VmInfo) -> None:
-    rig.scheduler.told(info)
-    rig.listed.append(info.name)
-    rig.hear(info.name)
+    rig.scheduler.update_vm(info)
+    rig.vm_names.append(info.name)
+    rig.report(info.name)
     rig.commit()
 
 
@@ -50,17 +50,17 @@
 
 def _answer_from(rig: Rig, incarnation: int, acked: int = 0) -> None:
     """Let a later incarnation answer a call meant for the current one."""
-    row = rig.scheduler.vms._incarnations.present("w0")
+    row = rig.scheduler.vms._incarnations.current("w0")
     assert row is not None
     info = _info(incarnation)
-    rig.scheduler.now()
-    rig.scheduler.other_life(row, OtherLife(info.name, info.born), acked)
+    rig.scheduler.update_time()
+    rig.scheduler.incarnation_replaced(row, LaterIncarnation(info.name, info.born), acked)
 
 
 def test_listed_runs_are_lost_with_their_incarnation_and_started_again() -> None:
     rig, start = _start_task()
-    rig.run(start)
-    rig.hear_all()
+    rig.hold(start)
+    rig.report_all()
     _add_vm(rig, _info(2))
     rig.wait(0.3)
     assert rig.started()[-1].vm == _info(2).name
@@ -72,17 +72,17 @@
 
 def test_completions_of_the_next_incarnation_are_numbered_from_one() -> None:
     rig, start = _start_task()
-    rig.end(start, "done")
-    rig.hear_all()
+    rig.complete(start, "done")
+    rig.report_all()
     rig.commit()
     rig.accept("more", spec(StepSpec(1, CORE)))
     _add_vm(rig, _info(2))
     rig.wait(0.3)
-    rig.end(rig.started()[-1], "done")
-    rig.hear(_info(2).name)
-    assert _row(rig, 2).seen_end == 1
+    rig.complete(rig.started()[-1], "done")
+    rig.report(_info(2).name)
+    assert _row(rig, 2).last_seen_completion == 1
     rig.commit()
-    assert rig.scheduler.state.jobs["more"].shown.name == "SUCCEEDED"
+    assert rig.scheduler.state.jobs["more"].visible_state.name == "SUCCEEDED"
 
 
 def test_a_start_request_that_may_have_reached_the_next_incarnation_is_expected_there() -> None:
@@ -92,8 +92,8 @@
     rig.tick()
     assert len(rig.started()) == 1
     name = _info(2).name
-    rig.run(msgspec.structs.replace(start, vm=name))
-    rig.hear(name)
+    rig.hold(msgspec.structs.replace(start, vm=name))
+    rig.report(name)
     rig.tick()
     assert len(rig.started()) == 1
     task = rig.scheduler.state.task(start.task)
@@ -130,8 +130,8 @@
     rig.tick()
     _answer_from(rig, 2)
     name = _info(2).name
-    rig.run(msgspec.structs.replace(start, vm=name))
-    rig.hear(name)
+    rig.hold(msgspec.structs.replace(start, vm=name))
+    rig.report(name)
     rig.tick()
     assert rig.stopped()[-1] == StopRun(name, start.task, start.run)
 
@@ -139,12 +139,12 @@
 def test_an_incarnation_known_only_by_an_answer_waits_for_its_entry() -> None:
     rig = _rig("w0")
     _answer_from(rig, 2)
-    rig.hear(_info(2).name)
+    rig.report(_info(2).name)
     rig.commit()
     rig.accept("job", spec(StepSpec(1, Shape())))
     rig.tick()
     assert rig.started() == []
-    rig.scheduler.told(_info(2))
+    rig.scheduler.update_vm(_info(2))
     rig.wait(0.3)
     assert [start.vm for start in rig.started()] == [_info(2).name]
 
@@ -152,8 +152,8 @@
 def test_an_outdated_list_does_not_restore_an_earlier_incarnation() -> None:
     rig = _rig("w0")
     _add_vm(rig, _info(2))
-    rig.scheduler.listed([_info(1)])
-    assert not _row(rig, 2).gone
+    rig.scheduler.update_vm_list([_info(1)])
+    assert not _row(rig, 2).terminated
     assert _row(rig, 2).fence > 0
 
 
@@ -161,11 +161,11 @@
     rig = _rig("w0")
     successor = msgspec.structs.replace(_info(2), name=f"w0/{BORN - 5}", born=BORN - 5)
     row = _row(rig, 1)
-    rig.scheduler.other_life(row, OtherLife(successor.name, successor.born), 0)
+    rig.scheduler.incarnation_replaced(row, LaterIncarnation(successor.name, successor.born), 0)
     rig.tick(1.0)
     rig.tick(1.0)
-    rig.scheduler.listed([_info(1)])
-    assert not rig.scheduler.state.vms[successor.name].gone
+    rig.scheduler.update_vm_list([_info(1)])
+    assert not rig.scheduler.state.vms[successor.name].terminated
 
 
 def test_each_incarnation_is_called_with_a_higher_fence() -> None:
@@ -179,8 +179,8 @@
 
 def test_the_crash_of_a_recorded_incarnation_counts_once_jobs_are_loaded() -> None:
     rig, start = _start_task()
-    rig.run(start)
-    rig.hear_all()
+    rig.hold(start)
+    rig.report_all()
     rig.commit()
     later = Rig(0, 2)
     second = VmRecord("a-w0", "pool", instance="w0", born=BORN + 2)
@@ -189,7 +189,7 @@
     task = later.scheduler.state.task(start.task)
     assert task is not None
     assert task.crashes == [_info(1).name]
-    assert not _row(later, 2).gone
+    assert not _row(later, 2).terminated
 
 
 def test_a_later_leader_waits_for_the_successor_of_a_recorded_incarnation() -> None:
@@ -198,14 +198,14 @@
     later = Rig(0, 2)
     later.scheduler.load([Record(key, value) for key, value in rig.store.items()])
     _add_vm(later, _info(1, "w1"))
-    later.scheduler.told(_info(2))
+    later.scheduler.update_vm(_info(2))
     later.commit()
     later.wait(0.3)
     assert later.started() == []
     # Only the start request has reached the next incarnation.
     name = _info(2).name
-    later.run(msgspec.structs.replace(start, vm=name))
-    later.hear(name)
+    later.hold(msgspec.structs.replace(start, vm=name))
+    later.report(name)
     later.wait(0.3)
     assert later.started() == []
     assert [run.vm for run in later.scheduler.state.task(start.task).runs] == [name]
@@ -216,15 +216,15 @@
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
     (start,) = rig.started()
-    rig.run(start)
-    rig.hear_all()
+    rig.hold(start)
+    rig.report_all()
     rig.commit()
     later = Rig(0, 2)
     later.scheduler.load([Record(key, value) for key, value in rig.store.items()])
-    later.scheduler.told(_info(1))
+    later.scheduler.update_vm(_info(1))
     name = _info(1).name
-    later.run(msgspec.structs.replace(start, vm=name))
-    later.hear(name)
+    later.hold(msgspec.structs.replace(start, vm=name))
+    later.report(name)
     later.wait(0.3)
     assert later.started() == []
     task = later.scheduler.state.task(start.task)
@@ -234,8 +234,8 @@
 
 def test_a_task_goes_to_another_vm_than_the_one_that_has_crashed_under_it() -> None:
     rig, start = _start_task()
-    rig.run(start)
-    rig.hear_all()
+    rig.hold(start)
+    rig.report_all()
     _add_vm(rig, _info(1, "w1"))
     _add_vm(rig, _info(2))
     rig.wait(0.3)
@@ -244,8 +244,8 @@
 
 def test_a_vm_whose_id_begins_like_another_one_has_not_crashed() -> None:
     rig, start = _start_task()
-    rig.run(start)
-    rig.hear_all()
+    rig.hold(start)
+    rig.report_all()
     _add_vm(rig, _info(1, "w01"))
     task = rig.scheduler.state.task(start.task)
     assert task is not None
@@ -257,7 +257,7 @@
 def test_a_late_start_causes_a_poll_of_its_vm() -> None:
     rig, start = _start_task()
     rig.scheduler.start_refused(start.vm, start.task, start.run, StartRefusal.LATE, True)
-    assert LookAt(start.vm) in rig.scheduler.tick()
+    assert PollVm(start.vm) in rig.scheduler.tick()
     rig.tick(0.05)
     assert len(rig.started()) == 1
     rig.wait(0.3)
@@ -274,8 +274,8 @@
     rig.accept("job", spec(StepSpec(1, CORE)))
     for incarnation in range(2, 6):
         rig.wait(2.5)
-        rig.run(rig.started()[-1])
-        rig.hear_all()
+        rig.hold(rig.started()[-1])
+        rig.report_all()
         for vm in vms:
             _add_vm(rig, _info(incarnation, vm))
     assert rig.scheduler.state.jobs["job"].state is not JobState.FAILED
--- a/tests/jobs/test_pacing.py
+++ b/tests/jobs/test_pacing.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from sablemount.jobs.actions import PaceRun, RunReport, StartRun
+from sablemount.jobs.actions import RunReport, StartRun, ThrottleRun
 from sablemount.jobs.model import Shape, StepSpec
 from sablemount.jobs.systems.pacing import ASSUMED_SPEED_PERCENT, FULL_SPEED_PERCENT, INTERVAL_S
 from tests.jobs.rig import CORE, Rig, spec
@@ -21,17 +21,17 @@
         self.rig.accept("fills", spec(BEST_EFFORT))
         self.rig.tick()
         for start in self.rig.started():
-            self.rig.run(start)
+            self.rig.hold(start)
         self.report_tail(0.3 * TARGET_MS)
 
-    def report_tail(self, tail_ms: float, rig: Rig | None = None) -> list[PaceRun]:
+    def report_tail(self, tail_ms: float, rig: Rig | None = None) -> list[ThrottleRun]:
         """Report a tail latency once the last change shows; return the requests to throttle."""
         rig = rig or self.rig
         rig.clock.time += INTERVAL_S + 0.1
         reports = rig.running["w0"]
         reports[:] = [_with_tail(report, tail_ms) for report in reports]
-        rig.hear("w0")
-        return [action for action in rig.tick() if isinstance(action, PaceRun)]
+        rig.report("w0")
+        return [action for action in rig.tick() if isinstance(action, ThrottleRun)]
 
 
 def _with_tail(report: RunReport, tail_ms: float) -> RunReport:
@@ -72,7 +72,7 @@
 def test_one_report_causes_one_change_only() -> None:
     shared = _SharedVm()
     assert len(shared.report_tail(1.2 * TARGET_MS)) == 1
-    shared.rig.hear("w0")
+    shared.rig.report("w0")
     assert shared.rig.tick() == []
 
 
@@ -83,7 +83,7 @@
         start for start in shared.rig.started() if start.task.startswith("serves")
     )
     shared.rig.scheduler.cancel("serves")
-    shared.rig.end(sensitive_start, "stopped")
+    shared.rig.complete(sensitive_start, "stopped")
     assert [action.percent for action in shared.report_tail(0.0)] == [FULL_SPEED_PERCENT]
 
 
@@ -91,7 +91,7 @@
     shared = _SharedVm()
     shared.report_tail(0.7 * TARGET_MS)
     later = shared.rig.successor()
-    later.hear("w0")
+    later.report("w0")
     requests = shared.report_tail(0.7 * TARGET_MS, later)
     assert [action.percent for action in requests] == [ASSUMED_SPEED_PERCENT]
 
@@ -99,7 +99,7 @@
 def test_an_unanswered_request_is_repeated() -> None:
     shared = _SharedVm()
     (request,) = shared.report_tail(1.2 * TARGET_MS)
-    shared.rig.scheduler.pacing.failed(request.vm, request.task, request.run)
+    shared.rig.scheduler.throttling.failed(request.vm, request.task, request.run)
     assert len(shared.report_tail(0.7 * TARGET_MS)) == 1
 
 
@@ -111,8 +111,8 @@
     rig.hold_all()
     rig.clock.time += 1.0
     rig.running["w0"] = [_with_tail(report, 20 * TARGET_MS) for report in rig.running["w0"]]
-    rig.hear_all()
-    assert [action for action in rig.tick() if isinstance(action, PaceRun)] == []
+    rig.report_all()
+    assert [action for action in rig.tick() if isinstance(action, ThrottleRun)] == []
 
 
 def test_only_best_effort_runs_of_the_same_vm_are_throttled() -> None:
@@ -122,10 +122,10 @@
     rig.tick()
     starts: list[StartRun] = rig.started()
     for start in starts:
-        rig.run(start)
-    rig.hear_all()
+        rig.hold(start)
+    rig.report_all()
     rig.clock.time += 1.0
     for rows in rig.running.values():
         rows[:] = [_with_tail(report, 2 * TARGET_MS) for report in rows]
-    rig.hear_all()
-    assert [action for action in rig.tick() if isinstance(action, PaceRun)] == []
+    rig.report_all()
+    assert [action for action in rig.tick() if isinstance(action, ThrottleRun)] == []
--- a/tests/jobs/test_preemption.py
+++ b/tests/jobs/test_preemption.py
@@ -11,7 +11,7 @@
 def _full_rig(step: StepSpec, vms: int = 2) -> Rig:
     rig = Rig(vms=vms, queues=(URGENT, CHEAP))
     rig.accept("batch", spec(step), CHEAP)
-    rig.run_all()
+    rig.start_and_hold_all()
     return rig
 
 
@@ -23,7 +23,7 @@
     rig.wait(0.7)
     (stop,) = rig.stopped()
     stopped = next(start for start in rig.started() if start.task == stop.task)
-    rig.end(stopped, "stopped", "saved-1")
+    rig.complete(stopped, "stopped", "saved-1")
     rig.wait(0.1)
     assert rig.started()[-1].task == "quote.0.0.0"
     assert rig.started()[-1].vm == stop.vm
@@ -34,11 +34,13 @@
     rig.accept("quote", spec(StepSpec(1, HALF, expected_ms=3000.0)), URGENT)
     rig.wait(0.7)
     stop = rig.stopped()[0]
-    rig.end(next(start for start in rig.started() if start.task == stop.task), "stopped", "saved-1")
-    rig.hear_all()
+    rig.complete(
+        next(start for start in rig.started() if start.task == stop.task), "stopped", "saved-1"
+    )
+    rig.report_all()
     rig.tick()
     quote = rig.started()[-1]
-    rig.end(quote, "done")
+    rig.complete(quote, "done")
     rig.wait(1.5)
     restarted = rig.started()[-1]
     assert (restarted.task, restarted.saved) == (stop.task, "saved-1")
@@ -59,7 +61,7 @@
     assert rig.stopped() == []
     long_rig = _full_rig(StepSpec(4, HALF, expected_ms=60_000.0))
     long_rig.clock.time += 20.0
-    long_rig.hear_all()
+    long_rig.report_all()
     long_rig.accept("quote", spec(StepSpec(1, HALF, expected_ms=1000.0)), URGENT)
     long_rig.wait(1.0)
     assert long_rig.stopped() == []
@@ -71,11 +73,11 @@
     rig.wait(1.5)
     assert len(rig.stopped()) == 4
     batch_starts = [start for start in rig.started() if start.task.startswith("batch")]
-    rig.end(batch_starts[0], "stopped")
+    rig.complete(batch_starts[0], "stopped")
     rig.wait(0.1)
     assert len(rig.started()) == 4
     for start in batch_starts[1:]:
-        rig.end(start, "stopped")
+        rig.complete(start, "stopped")
     rig.wait(0.1)
     assert [start.task.split(".")[0] for start in rig.started()[4:]] == ["gang"] * 4
 
@@ -89,7 +91,7 @@
     assert len(first) == 2
     for stop in first:
         stopped = next(start for start in rig.started() if start.task == stop.task)
-        rig.end(stopped, "stopped", "saved-1")
+        rig.complete(stopped, "stopped", "saved-1")
     rig.wait(0.1)
     rig.tick(0.1)
     assert len(rig.stopped()) == 3
--- a/tests/jobs/test_preload.py
+++ b/tests/jobs/test_preload.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from sablemount.control.preload import FRESH, Preload, load_records
-from sablemount.control.progress import Progress
+from sablemount.control.preload import MAX_AGE_S, Preload, load_records
+from sablemount.control.progress import TransferProgress
 from sablemount.control.store import Page, Topic, Unavailable
 from sablemount.jobs.records import Record
 from tests.emulator.loop import run
@@ -35,7 +35,7 @@
         store = EmulatedStore(state, "m")
         state.latency = 0.1
         preload = Preload(store)
-        preload.begin()
+        preload.start()
         # The first page has been read by then; it contains the first two of these keys.
         await asyncio.sleep(0.15)
         topic = state.topics[Topic.JOBS]
@@ -56,7 +56,7 @@
         state = _store_with_pages()
         store = EmulatedStore(state, "m")
         preload = Preload(store)
-        await preload.begin()
+        await preload.start()
         state.topics[Topic.JOBS].add([Record("k0001", b"second")])
         loaded = _values(await load_records(store, preload.take(), None))
         assert loaded["k0001"] == b"second"
@@ -82,7 +82,7 @@
     reads = 0
 
     async def newest(
-        self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
+        self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
     ) -> Page | Unavailable:
         self.reads += 1
         if self.reads % 2:
@@ -108,9 +108,9 @@
         state.latency = 1.2
         store = EmulatedStore(state, "m")
         preload = Preload(store)
-        reading = preload.begin()
+        reading = preload.start()
         assert await reading is not None
-        assert preload.begin() is reading
+        assert preload.start() is reading
         assert preload.take() is reading
 
     run(scenario())
@@ -119,11 +119,11 @@
 def test_what_has_aged_is_read_anew() -> None:
     async def scenario() -> None:
         preload = Preload(EmulatedStore(_store_with_pages(), "m"))
-        reading = preload.begin()
+        reading = preload.start()
         await reading
-        await asyncio.sleep(FRESH)
-        assert preload.begin() is not reading
-        await asyncio.sleep(FRESH + 1.0)
+        await asyncio.sleep(MAX_AGE_S)
+        assert preload.start() is not reading
+        await asyncio.sleep(MAX_AGE_S + 1.0)
         assert preload.take() is None
 
     run(scenario())
--- a/tests/jobs/test_proofs.py
+++ b/tests/jobs/test_proofs.py
@@ -11,7 +11,7 @@
 
 from sablemount.control.ports import CallError, HoldCall, HoldResult, StartResult
 from sablemount.control.vm_calls import PROBE_LEASE_S, VmCalls
-from sablemount.jobs.actions import Heard, OtherLife, StartRun
+from sablemount.jobs.actions import LaterIncarnation, StartRun, VmReport
 from sablemount.jobs.model import AdviceTerms, StepSpec, VmInfo
 from sablemount.jobs.records import Record
 from sablemount.jobs.tables import RunState, VmRow
@@ -29,13 +29,15 @@
     rig.scheduler.load([Record(key, value) for key, value in previous.store.items()])
     for number, step in enumerate(steps):
         rig.accept(f"job{number}", spec(step))
-    rig.scheduler.now()
-    rig.scheduler.other_life(
-        rig.scheduler.state.vms["w0"], OtherLife(NEXT_INCARNATION.name, NEXT_INCARNATION.born), 0
+    rig.scheduler.update_time()
+    rig.scheduler.incarnation_replaced(
+        rig.scheduler.state.vms["w0"],
+        LaterIncarnation(NEXT_INCARNATION.name, NEXT_INCARNATION.born),
+        0,
     )
-    rig.scheduler.told(NEXT_INCARNATION)
+    rig.scheduler.update_vm(NEXT_INCARNATION)
     rig.commit()
-    rig.listed.append(NEXT_INCARNATION.name)
+    rig.vm_names.append(NEXT_INCARNATION.name)
     return rig, rig.scheduler.state.vms[NEXT_INCARNATION.name]
 
 
@@ -49,13 +51,13 @@
 def test_a_probe_shows_that_the_next_incarnation_lists_completions() -> None:
     rig, row = _restarted_vm()
     start = _first_start(rig)
-    assert row.runs[(start.task, start.run)].proof
-    assert row.deaf
-    rig.run(start)
+    assert row.runs[(start.task, start.run)].is_probe
+    assert row.completions_unreliable
+    rig.hold(start)
     rig.wait(0.01)
-    rig.end(start, "lapsed")
+    rig.complete(start, "lapsed")
     rig.wait(0.1)
-    assert not row.deaf
+    assert not row.completions_unreliable
     rig.wait(0.3)
     assert len({start.task for start in rig.started()[1:]}) == 3
 
@@ -63,13 +65,13 @@
 def test_a_lost_probe_is_no_completion_and_its_task_runs_on_a_reliable_vm() -> None:
     rig, row = _restarted_vm()
     start = _first_start(rig)
-    rig.run(start)
-    rig.hear_all()
+    rig.hold(start)
+    rig.report_all()
     rig.running[row.name] = []
     for _ in range(10):
         rig.wait(1.0)
-    assert row.deaf
-    assert not row.unproven
+    assert row.completions_unreliable
+    assert not row.unverified
     assert rig.started() == [start]
     rig.add_vms(1)
     rig.commit()
@@ -80,13 +82,13 @@
 def test_a_refused_probe_is_repeated_later() -> None:
     rig, row = _restarted_vm()
     start = _first_start(rig)
-    rig.scheduler.reconcile.not_started(row.name, start.task, start.run)
+    rig.scheduler.reconcile.run_not_started(row.name, start.task, start.run)
     rig.tick()
     assert rig.started() == [start]
     for _ in range(4):
         rig.wait(0.1)
     assert len(rig.started()) == 2
-    assert row.proofs == 2
+    assert row.probes == 2
 
 
 def test_an_incarnation_found_unverified_by_a_previous_leader_is_probed() -> None:
@@ -95,9 +97,9 @@
     later = Rig(0, 3)
     later.scheduler.load([Record(key, value) for key, value in rig.store.items()])
     row = later.scheduler.state.vms[NEXT_INCARNATION.name]
-    assert row.deaf
-    later.scheduler.told(NEXT_INCARNATION)
-    later.listed.append(NEXT_INCARNATION.name)
+    assert row.completions_unreliable
+    later.scheduler.update_vm(NEXT_INCARNATION)
+    later.vm_names.append(NEXT_INCARNATION.name)
     for _ in range(2):
         later.commit()
         later.wait(0.1)
@@ -107,11 +109,11 @@
 def test_members_of_one_gang_do_not_probe_two_vms_at_once() -> None:
     rig, row = _restarted_vm((StepSpec(3, CORE, gang=True),))
     other = msgspec.structs.replace(NEXT_INCARNATION, name="w1/7", instance="w1", address="a1")
-    rig.scheduler.told(other)
+    rig.scheduler.update_vm(other)
     rig.commit()
     second = rig.scheduler.state.vms[other.name]
-    rig.scheduler.vms.doubted(second, 0)
-    rig.listed.append(other.name)
+    rig.scheduler.vms.mark_unverified(second, 0)
+    rig.vm_names.append(other.name)
     rig.wait(0.1)
     rig.wait(0.1)
     assert len(rig.started()) == 1
@@ -120,14 +122,14 @@
 def test_advice_is_requested_for_a_probe_that_needs_a_ticket() -> None:
     rig, row = _restarted_vm(())
     advised = queue("advised", advice=AdviceTerms(10.0, 1.0, 2000.0))
-    rig.scheduler.configured(
+    rig.scheduler.apply_configuration(
         msgspec.structs.replace(rig.configuration, version=9, queues=(queue(), advised))
     )
-    rig.scheduler.advice.set_lanes({"one"})
+    rig.scheduler.advice.set_call_slots({"one"})
     rig.accept("job", spec(StepSpec(1, CORE)), advised)
     rig.wait(0.1)
     rig.wait(0.1)
-    assert [ask.vms for ask in rig.asked()] == [(row.name,)]
+    assert [ask.vms for ask in rig.advice_calls()] == [(row.name,)]
 
 
 class _Port:
@@ -140,7 +142,7 @@
     async def hold(self, call: HoldCall, timeout: float) -> HoldResult:
         self.holds.append(call)
         now = asyncio.get_running_loop().time()
-        return Heard(call.vm, now, now * 1000.0, (), ())
+        return VmReport(call.vm, now, now * 1000.0, (), ())
 
     async def start(
         self, action: StartRun, address: str, fence: int, until_ms: int, timeout: float
@@ -153,7 +155,7 @@
     recorded: asyncio.Future[None] = asyncio.get_running_loop().create_future()
     recorded.set_result(None)
     rig.clock.monotonic = asyncio.get_running_loop().time  # type: ignore[method-assign]
-    rig.scheduler.now()
+    rig.scheduler.update_time()
     return VmCalls(
         rig.scheduler, port, 3, lambda: True, lambda vm: None, lambda: None, lambda: recorded
     )
@@ -167,10 +169,10 @@
         vm_calls = _vm_calls(rig, port)
         row.runs[(start.task, start.run)].state = RunState.SENT
         now = asyncio.get_running_loop().time()
-        row.clock_at = row.heard_at = now
+        row.clock_read_at = row.last_report_at = now
         row.clock_ms = now * 1000.0
         start = msgspec.structs.replace(start, not_after=now + 1.0)
-        row.runs[(start.task, start.run)].settle_clock = row.clock_ms + 1_500.0
+        row.runs[(start.task, start.run)].settle_clock_ms = row.clock_ms + 1_500.0
         await vm_calls._poll(row)
         await vm_calls._start(start)
         assert port.holds[0].until_ms == 0
@@ -186,8 +188,8 @@
         port = _Port()
         vm_calls = _vm_calls(rig, port)
         row = rig.scheduler.state.vms["w0"]
-        row.heard_at = asyncio.get_running_loop().time()
-        row.acked_end = acked
+        row.last_report_at = asyncio.get_running_loop().time()
+        row.last_recorded_completion = acked
         await vm_calls._poll(row)
         (call,) = port.holds
         assert (call.acked_completion, call.until_ms > 0) == (acked, not acked)
--- a/tests/jobs/test_record_sizes.py
+++ b/tests/jobs/test_record_sizes.py
@@ -43,7 +43,7 @@
             task.saved = SAVED
     # The store did not answer for a while, and a task of each job has completed since.
     for row in state.jobs.values():
-        state.mark(row)
+        state.mark_dirty(row)
     record_count = 0
     while rig.scheduler.journal.pending():
         records = rig.scheduler.next_batch().records
--- a/tests/jobs/test_recovery.py
+++ b/tests/jobs/test_recovery.py
@@ -12,9 +12,9 @@
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
-    rig.run(rig.started()[0])
+    rig.hold(rig.started()[0])
     successor = rig.successor()
-    successor.hear_all()
+    successor.report_all()
     successor.tick()
     assert successor.started() == []
     assert successor.scheduler.state.jobs["job"].state is JobState.RUNNING
@@ -24,12 +24,12 @@
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
     successor = rig.successor()
-    successor.hear("w0")
+    successor.report("w0")
     successor.tick()
     assert successor.started() == []
     for _ in range(9):
         successor.clock.time += 1.0
-        successor.hear("w0")
+        successor.report("w0")
         successor.tick()
     assert [start.vm for start in successor.started()] == ["w0"]
 
@@ -38,7 +38,7 @@
     rig = Rig()
     rig.accept("old", spec(StepSpec(1, CORE)))
     successor = rig.successor()
-    successor.hear("w0")
+    successor.report("w0")
     successor.accept("new", spec(StepSpec(1, CORE)))
     successor.tick()
     assert [start.task for start in successor.started()] == ["new.0.0.0"]
@@ -48,11 +48,11 @@
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
-    rig.end(rig.started()[0], "failed")
-    rig.hear_all()
+    rig.complete(rig.started()[0], "failed")
+    rig.report_all()
     rig.commit()
     successor = rig.successor()
-    successor.hear_all()
+    successor.report_all()
     task = successor.scheduler.state.jobs["job"].steps[(0, 0)].tasks[0]
     assert len(task.failed_runs) == 1
 
@@ -62,7 +62,7 @@
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
     successor = rig.successor()
-    successor.hear_all()
+    successor.report_all()
     successor.tick()
     assert successor.started()[0].run > rig.started()[0].run
 
@@ -71,15 +71,15 @@
     rig = Rig()
     rig.accept("job", spec(StepSpec(2, CORE)))
     rig.tick()
-    rig.end(rig.started()[0], "done")
-    rig.hear_all()
+    rig.complete(rig.started()[0], "done")
+    rig.report_all()
     row = rig.scheduler.state.vms[rig.started()[0].vm]
-    assert row.acked_end == 0
+    assert row.last_recorded_completion == 0
     rig.commit()
-    assert row.acked_end == 1
+    assert row.last_recorded_completion == 1
     successor = rig.successor()
-    successor.ends = {}
-    successor.hear_all()
+    successor.completions = {}
+    successor.report_all()
     successor.tick()
     assert [start.task for start in successor.started()] == [rig.started()[1].task]
 
@@ -88,12 +88,12 @@
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
-    rig.end(rig.started()[0], "done")
-    rig.hear_all()
+    rig.complete(rig.started()[0], "done")
+    rig.report_all()
     rig.commit()
     assert "j/job" not in rig.store
     successor = rig.successor()
-    assert successor.scheduler.state.jobs["job"].shown is JobState.SUCCEEDED
+    assert successor.scheduler.state.jobs["job"].visible_state is JobState.SUCCEEDED
 
 
 def test_an_ended_job_is_forgotten_in_time() -> None:
@@ -113,11 +113,11 @@
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, HALF_A_VM)))
     rig.tick()
-    rig.run(rig.started()[0])
+    rig.hold(rig.started()[0])
     rig.scheduler.cancel("job")
     rig.commit()
     successor = rig.successor()
-    successor.hear_all()
+    successor.report_all()
     successor.tick(0.1)
     assert [stop.task for stop in successor.stopped()] == ["job.0.0.0"]
 
@@ -126,13 +126,13 @@
     rig = Rig()
     rig.accept("job", spec(StepSpec(1, CORE)))
     successor = rig.successor()
-    successor.scheduler.vms.left_list("w1")
-    successor.hear("w0")
+    successor.scheduler.vms.entry_removed("w1")
+    successor.report("w0")
     gone = successor.scheduler.state.vms["w1"]
     for _ in range(4):
         successor.clock.time += 0.5
-        successor.hear("w0")
-        successor.scheduler.vms.refused(gone)
+        successor.report("w0")
+        successor.scheduler.vms.connection_refused(gone)
         successor.tick()
     assert [start.vm for start in successor.started()] == ["w0"]
 
@@ -142,19 +142,19 @@
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
     first = rig.started()[0]
-    rig.run(first)
-    rig.hear_all()
+    rig.hold(first)
+    rig.report_all()
     row = rig.scheduler.state.vms[first.vm]
-    rig.scheduler.vms.lease_until(row)
-    other = next(name for name in rig.listed if name != first.vm)
+    rig.scheduler.vms.extend_lease(row)
+    other = next(name for name in rig.vm_names if name != first.vm)
     for _ in range(12):
         rig.clock.time += 0.5
-        rig.hear(other)
+        rig.report(other)
         rig.tick()
     assert len(rig.started()) == 1
     for _ in range(3):
         rig.clock.time += 0.5
-        rig.hear(other)
+        rig.report(other)
         rig.tick()
     assert [start.vm for start in rig.started()] == [first.vm, other]
 
@@ -164,9 +164,9 @@
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
     first = rig.started()[0]
-    rig.run(first)
-    rig.hear_all()
-    rig.scheduler.vms.died(first.vm)
+    rig.hold(first)
+    rig.report_all()
+    rig.scheduler.vms.incarnation_ended(first.vm)
     rig.tick()
     assert len(rig.started()) == 2
     assert rig.started()[1].vm != first.vm
@@ -177,7 +177,7 @@
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.store["j/broken"] = b"\xc1"
     successor = rig.successor()
-    successor.hear_all()
+    successor.report_all()
     successor.tick()
     assert [start.task for start in successor.started()] == ["job.0.0.0"]
 
@@ -190,16 +190,16 @@
     assert rig.started() == []
     rig.tick(1.1)
     assert [start.task for start in rig.started()] == ["job.0.0.0"]
-    rig.end(rig.started()[0], "done")
-    rig.hear_all()
+    rig.complete(rig.started()[0], "done")
+    rig.report_all()
     rig.commit()
     successor = rig.successor()
     successor.wait(1.0)
     assert [start.task for start in successor.started()] == ["job.1.0.0", "job.2.0.0"]
     for start in successor.started():
-        successor.end(start, "done")
+        successor.complete(start, "done")
     successor.clock.time += 0.1
-    successor.hear_all()
+    successor.report_all()
     assert successor.scheduler.state.jobs["job"].state is JobState.SUCCEEDED
 
 
@@ -207,12 +207,12 @@
     rig = Rig()
     for _ in range(20):
         rig.clock.time += 0.5
-        rig.hear("w0")
+        rig.report("w0")
         rig.tick()
     rig.accept("job", spec(StepSpec(1, CORE)))
     assert "w/w1" not in rig.store
     successor = rig.successor()
-    successor.hear("w0")
+    successor.report("w0")
     successor.tick()
     assert [start.vm for start in successor.started()] == ["w0"]
 
@@ -237,7 +237,7 @@
         rig.tick(0.5)
     rig.commit()
     assert "w/w0" not in rig.store
-    rig.hear_all()
+    rig.report_all()
     rig.tick(0.6)
     rig.commit()
     assert "w/w0" in rig.store
@@ -246,18 +246,18 @@
 def test_a_drained_vm_that_has_left_does_not_hold_up_a_later_leader() -> None:
     rig = Rig()
     row = rig.scheduler.state.vms["w1"]
-    rig.scheduler.told(VmInfo("w1", "a1", "pool", CAPACITY, (), draining=True))
-    rig.scheduler.vms.lease_until(row)
-    rig.scheduler.vms.left_list("w1")
+    rig.scheduler.update_vm(VmInfo("w1", "a1", "pool", CAPACITY, (), draining=True))
+    rig.scheduler.vms.extend_lease(row)
+    rig.scheduler.vms.entry_removed("w1")
     for _ in range(4):
         rig.clock.time += 0.5
-        rig.hear("w0")
-        rig.scheduler.vms.unanswered(row)
+        rig.report("w0")
+        rig.scheduler.vms.poll_unanswered(row)
         rig.tick()
     rig.accept("job", spec(StepSpec(1, CORE)))
     assert "w/w1" not in rig.store
     successor = rig.successor()
-    successor.hear("w0")
+    successor.report("w0")
     successor.tick()
     assert [start.vm for start in successor.started()] == ["w0"]
 
@@ -268,13 +268,13 @@
     first.accept("gang", spec(StepSpec(4, CORE, expected_ms=9000.0, gang=True)))
     first.tick()
     for start in first.started()[:started]:
-        first.run(start)
-    first.hear_all()
+        first.hold(start)
+    first.report_all()
     successor = first.successor()
-    successor.hear_all()
+    successor.report_all()
     for _ in range(3):
         successor.tick(0.6)
-        successor.hear_all()
+        successor.report_all()
     return successor
 
 
@@ -285,7 +285,7 @@
         rows = rig.running[stop.vm]
         rows[:] = [row for row in rows if row.task != stop.task]
     rig.clock.time += 0.2
-    rig.hear_all()
+    rig.report_all()
     rig.tick(0.2)
     assert len(rig.started()) == 4
 
@@ -299,20 +299,20 @@
     first = Rig(vms=1)
     first.accept("gone", spec(StepSpec(1, HALF_A_VM)))
     first.tick()
-    first.run(first.started()[0])
+    first.hold(first.started()[0])
     first.scheduler.cancel("gone")
     first.commit()
     successor = Rig(0, 2)
     successor.running = first.running
     successor.scheduler.load([Record(key, value) for key, value in first.store.items()])
-    successor.hear("w0")
-    successor.scheduler.told(first.scheduler.state.vms["w0"].info)
+    successor.report("w0")
+    successor.scheduler.update_vm(first.scheduler.state.vms["w0"].info)
     successor.accept("new", spec(StepSpec(2, HALF_A_VM)))
     successor.tick()
     assert successor.started() == []
     successor.running["w0"] = []
     successor.clock.time += 1.0
-    successor.hear("w0")
+    successor.report("w0")
     successor.tick()
     assert len(successor.started()) == 2
-    assert successor.scheduler.state.vms["w0"].room == Shape(0, 62_000, 2)
+    assert successor.scheduler.state.vms["w0"].free_capacity == Shape(0, 62_000, 2)
--- a/tests/jobs/test_reservation.py
+++ b/tests/jobs/test_reservation.py
@@ -15,7 +15,7 @@
     rig = Rig(vms=vms, queues=QUEUES)
     for number in range(running):
         rig.accept(f"batch{number}", spec(StepSpec(1, HALF, expected_ms=900_000.0)), GANGS)
-    rig.run_all()
+    rig.start_and_hold_all()
     return rig
 
 
@@ -26,8 +26,8 @@
 def _complete_first(rig: Rig, count: int) -> None:
     """Complete some of the first tasks."""
     for start in rig.started()[:count]:
-        rig.end(start, "done")
-    rig.hear_all()
+        rig.complete(start, "done")
+    rig.report_all()
     rig.tick()
 
 
@@ -67,7 +67,7 @@
     rig.accept("gang", spec(StepSpec(4, HALF, expected_ms=6000.0, gang=True)), GANGS)
     rig.accept("cheap", spec(StepSpec(1, HALF, expected_ms=6000.0, label="a")), CHEAP)
     rig.tick()
-    rig.end(next(start for start in rig.started() if start.vm == "w1"), "done")
-    rig.hear_all()
+    rig.complete(next(start for start in rig.started() if start.vm == "w1"), "done")
+    rig.report_all()
     rig.tick()
     assert _jobs_started(rig, 4) == ["cheap"]
--- a/tests/jobs/test_rooms.py
+++ b/tests/jobs/test_rooms.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sablemount.jobs.model import Shape, StepSpec
-from sablemount.jobs.systems.vms import ROOM_FRESH, ROOM_MARGIN
+from sablemount.jobs.systems.vms import CAPACITY_MARGIN_S, CAPACITY_VALID_S
 from tests.emulator.loop import run
 from tests.emulator.system import System
 from tests.emulator.vm_faults import resize
@@ -20,10 +20,10 @@
 def _rig(guarded: bool = False) -> Rig:
     rig = Rig(vms=1)
     pools = frozenset({"pool"} if guarded else ())
-    rig.scheduler.configured(
+    rig.scheduler.apply_configuration(
         msgspec.structs.replace(rig.configuration, version=2, guarded_pools=pools)
     )
-    rig.scheduler.rooms_known(rig.clock.time)
+    rig.scheduler.entries_read(rig.clock.time)
     return rig
 
 
@@ -35,15 +35,15 @@
 @pytest.mark.parametrize("guarded", [False, True], ids=["unguarded", "guarded"])
 def test_nothing_is_started_on_outdated_capacity_unless_it_is_guarded(guarded: bool) -> None:
     rig = _rig(guarded)
-    _wait(rig, ROOM_FRESH + 0.5)
+    _wait(rig, CAPACITY_VALID_S + 0.5)
     rig.accept("a", spec(StepSpec(1, CORE)))
     rig.tick()
     assert len(rig.started()) == guarded
-    rig.scheduler.rooms_known(rig.clock.time)
+    rig.scheduler.entries_read(rig.clock.time)
     rig.wait(0.5)
     assert len(rig.started()) == guarded
     info = rig.scheduler.state.vms["w0"].info
-    rig.scheduler.told(msgspec.structs.replace(info, revision=1))
+    rig.scheduler.update_vm(msgspec.structs.replace(info, revision=1))
     rig.wait(0.5)
     assert len(rig.started()) == 1
 
@@ -51,21 +51,21 @@
 def test_an_entry_that_is_not_rewritten_is_valid_in_the_end() -> None:
     """The platform removes an entry whose VM does not reach the store."""
     rig = _rig()
-    _wait(rig, ROOM_FRESH + 0.5)
+    _wait(rig, CAPACITY_VALID_S + 0.5)
     rig.accept("a", spec(StepSpec(1, CORE)))
     for _ in range(6):
-        rig.scheduler.rooms_known(rig.clock.time)
+        rig.scheduler.entries_read(rig.clock.time)
         rig.wait(0.5)
     assert len(rig.started()) == 1
 
 
 def test_a_start_request_does_not_outlive_the_known_capacity() -> None:
     rig = _rig()
-    _wait(rig, ROOM_FRESH - 0.5)
+    _wait(rig, CAPACITY_VALID_S - 0.5)
     rig.accept("a", spec(StepSpec(1, CORE)))
     rig.tick()
     (start,) = rig.started()
-    assert start.not_after <= 100.0 + ROOM_FRESH + ROOM_MARGIN
+    assert start.not_after <= 100.0 + CAPACITY_VALID_S + CAPACITY_MARGIN_S
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/jobs/test_roster.py
+++ b/tests/jobs/test_roster.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from sablemount.control.messages import Ping, Pong
-from sablemount.control.roster import Roster
+from sablemount.control.roster import MembershipList
 from tests.emulator.loop import run
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 MEMBERS = 40
 
@@ -64,7 +64,7 @@
 def test_members_of_a_new_leader_know_one_another() -> None:
     async def scenario() -> None:
         system = System(3, members=MEMBERS, vms=2)
-        previous = await begun(system, 3.0)
+        previous = await start_system(system, 3.0)
         system.kill(previous, None)
         system.names.remove(previous)
         await asyncio.sleep(2.0)
@@ -84,13 +84,13 @@
         link = 625_000
         addresses = {f"machine-of-zone-{number}": "10.0.0.1:8240" for number in range(members)}
         size = len(msgspec.msgpack.encode(addresses))
-        roster = Roster(addresses, link)
+        roster = MembershipList(addresses, link)
         missing = set(range(members))
         sent = 0
         began = asyncio.get_running_loop().time()
         while missing and asyncio.get_running_loop().time() < began + 60.0:
             for number in sorted(missing):
-                if roster.since(0) is not None:
+                if roster.addresses_since(0) is not None:
                     missing.discard(number)
                     sent += size
             elapsed = asyncio.get_running_loop().time() - began
@@ -103,8 +103,8 @@
 
 def test_a_link_without_a_limit_takes_all_lists_at_once() -> None:
     async def scenario() -> None:
-        roster = Roster({"m1": "a"})
-        assert all(roster.since(0) is not None for _ in range(50))
+        roster = MembershipList({"m1": "a"})
+        assert all(roster.addresses_since(0) is not None for _ in range(50))
 
     run(scenario())
 
@@ -113,14 +113,14 @@
     async def scenario() -> None:
         names = {f"edge-north-{number}": f"10.1.{number}.13:7720" for number in range(300)}
         link = 625_000
-        roster = Roster(names, link)
+        roster = MembershipList(names, link)
         versions = dict.fromkeys(names, 0)
         for second in range(40):
             sent = 0
             for _ in range(20):
                 for name, address in names.items():
-                    roster.note(name, address)
-                    addresses = roster.since(versions[name])
+                    roster.record_address(name, address)
+                    addresses = roster.addresses_since(versions[name])
                     if addresses is not None:
                         versions[name] = roster.version
                         sent += len(msgspec.msgpack.encode(addresses))
--- a/tests/jobs/test_scheduling.py
+++ b/tests/jobs/test_scheduling.py
@@ -35,7 +35,7 @@
     assert len(rig.stopped()) == 2
     assert len(rig.started()) == 2
     for start in rig.started():
-        rig.end(start, "stopped")
+        rig.complete(start, "stopped")
     rig.wait(0.1)
     assert len(rig.started()) == 4
 
@@ -47,9 +47,9 @@
     rig.accept("gang", spec(StepSpec(4, HALF_A_VM, gang=True)))
     rig.tick()
     assert [start.task for start in rig.started()] == ["other.0.0.0"]
-    rig.run(rig.started()[0])
-    rig.end(rig.started()[0], "done")
-    rig.hear_all()
+    rig.hold(rig.started()[0])
+    rig.complete(rig.started()[0], "done")
+    rig.report_all()
     rig.tick()
     gang = rig.started()[1:]
     assert len(gang) == 4
@@ -61,13 +61,13 @@
     job = rig.accept("gang", spec(StepSpec(4, HALF_A_VM, gang=True)))
     rig.tick()
     rig.hold_all()
-    rig.end(rig.started()[0], "done")
+    rig.complete(rig.started()[0], "done")
     rig.clock.time += 0.1
-    rig.hear(rig.started()[0].vm)
+    rig.report(rig.started()[0].vm)
     assert job.state is JobState.SUCCEEDED
-    assert job.shown is not JobState.SUCCEEDED
+    assert job.visible_state is not JobState.SUCCEEDED
     rig.commit()
-    assert job.shown is JobState.SUCCEEDED
+    assert job.visible_state is JobState.SUCCEEDED
     assert rig.tick() == []
 
 
@@ -76,8 +76,8 @@
     rig.accept("job", spec(StepSpec(1, CORE), StepSpec(1, CORE, after=(0,))))
     rig.tick()
     assert [start.task for start in rig.started()] == ["job.0.0.0"]
-    rig.end(rig.started()[0], "done")
-    rig.hear_all()
+    rig.complete(rig.started()[0], "done")
+    rig.report_all()
     rig.tick()
     assert [start.task for start in rig.started()] == ["job.0.0.0", "job.0.1.0"]
 
@@ -113,7 +113,7 @@
 def test_a_draining_vm_gets_nothing_new() -> None:
     rig = Rig(vms=1)
     info = rig.scheduler.state.vms["w0"].info
-    rig.scheduler.told(type(info)(info.name, info.address, "pool", info.capacity, (), True))
+    rig.scheduler.update_vm(type(info)(info.name, info.address, "pool", info.capacity, (), True))
     rig.accept("job", spec(StepSpec(1, CORE)))
     assert rig.tick() == []
 
@@ -123,10 +123,10 @@
     job = rig.accept("job", spec(StepSpec(1, CORE)))
     for _ in range(3):
         rig.tick(2.0)
-        rig.hear_all()
+        rig.report_all()
         rig.tick()
-        rig.end(rig.started()[-1], "failed")
-        rig.hear_all()
+        rig.complete(rig.started()[-1], "failed")
+        rig.report_all()
     assert job.state is JobState.FAILED
     assert len(rig.started()) == 3
     assert len({start.vm for start in rig.started()}) > 1
@@ -155,13 +155,13 @@
 def test_advice_is_asked_for_at_acceptance_and_its_ticket_used() -> None:
     advised_queue = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
     rig = Rig(vms=3, queues=(advised_queue,))
-    rig.scheduler.advice.set_lanes({"one", "two"})
+    rig.scheduler.advice.set_call_slots({"one", "two"})
     rig.scheduler.submit("job", advised_queue, spec(StepSpec(2, HALF_A_VM)))
     rig.tick()
-    (call,) = rig.asked()
+    (call,) = rig.advice_calls()
     assert sorted(call.vms) == ["w0", "w1", "w2"]
     rig.commit()
-    rig.scheduler.advice.answered(call.lane, call.step, call.vms, {"w2": "t"}, 2000.0)
+    rig.scheduler.advice.answered(call.call_slot, call.step, call.vms, {"w2": "t"}, 2000.0)
     rig.tick()
     assert {(start.vm, start.ticket) for start in rig.started()} == {("w2", "t")}
 
@@ -169,46 +169,46 @@
 def test_a_ticket_that_has_run_out_is_renewed_for_the_vm_about_to_be_used() -> None:
     advised_queue = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
     rig = Rig(vms=3, queues=(advised_queue,))
-    rig.scheduler.advice.set_lanes({"one"})
+    rig.scheduler.advice.set_call_slots({"one"})
     rig.scheduler.submit("job", advised_queue, spec(StepSpec(1, HALF_A_VM)))
     rig.tick()
-    call = rig.asked()[0]
-    rig.scheduler.advice.answered(call.lane, call.step, call.vms, {"w1": "t"}, 2000.0)
+    call = rig.advice_calls()[0]
+    rig.scheduler.advice.answered(call.call_slot, call.step, call.vms, {"w1": "t"}, 2000.0)
     rig.clock.time += 2.2
-    rig.hear_all()
+    rig.report_all()
     rig.commit()
     rig.tick()
     assert rig.started() == []
-    assert rig.asked()[1].vms == ("w1",)
-    assert rig.scheduler.state.vms["w1"].room.cores == 8_000
+    assert rig.advice_calls()[1].vms == ("w1",)
+    assert rig.scheduler.state.vms["w1"].free_capacity.cores == 8_000
 
 
 def test_slow_calls_leave_call_slots_to_quick_ones() -> None:
     slow = queue("slow", 0, AdviceTerms(800.0, 5.0, 2000.0))
     quick = queue("quick", 5, AdviceTerms(9.0, 0.1, 2000.0))
     rig = Rig(vms=2, queues=(slow, quick))
-    rig.scheduler.advice.set_lanes({"one", "two", "three"})
+    rig.scheduler.advice.set_call_slots({"one", "two", "three"})
     for number in range(3):
         rig.scheduler.submit(f"slow{number}", slow, spec(StepSpec(1, CORE)))
     rig.tick()
-    assert len(rig.asked()) == 2
+    assert len(rig.advice_calls()) == 2
     rig.scheduler.submit("quick", quick, spec(StepSpec(1, CORE)))
     rig.tick()
-    assert rig.asked()[-1].step.startswith("quick")
+    assert rig.advice_calls()[-1].step.startswith("quick")
 
 
 def test_a_step_asks_again_when_its_call_slot_is_removed() -> None:
     advised_queue = queue("q", 0, AdviceTerms(9.0, 0.1, 2000.0))
     rig = Rig(vms=1, queues=(advised_queue,))
-    rig.scheduler.advice.set_lanes({"one", "two"})
+    rig.scheduler.advice.set_call_slots({"one", "two"})
     rig.scheduler.submit("job", advised_queue, spec(StepSpec(1, CORE)))
     rig.tick()
-    lane = rig.asked()[0].lane
-    rig.scheduler.advice.set_lanes({"one", "two"} - {lane})
+    lane = rig.advice_calls()[0].call_slot
+    rig.scheduler.advice.set_call_slots({"one", "two"} - {lane})
     rig.tick(0.2)
     rig.tick(0.2)
-    assert len(rig.asked()) == 2
-    assert rig.asked()[1].lane != lane
+    assert len(rig.advice_calls()) == 2
+    assert rig.advice_calls()[1].call_slot != lane
 
 
 def test_a_member_of_a_gang_is_not_started_while_another_still_runs() -> None:
@@ -216,15 +216,15 @@
     rig.accept("gang", spec(StepSpec(2, HALF_A_VM, gang=True, spread=1)))
     rig.tick()
     first, second = rig.started()
-    rig.run(first)
-    rig.run(second)
-    rig.hear_all()
-    rig.end(second, "broken")
+    rig.hold(first)
+    rig.hold(second)
+    rig.report_all()
+    rig.complete(second, "broken")
     rig.clock.time += 0.1
-    rig.hear(second.vm)
+    rig.report(second.vm)
     rig.tick()
     assert len(rig.started()) == 2
-    rig.end(first, "stopped")
+    rig.complete(first, "stopped")
     rig.wait(0.1)
     assert len(rig.started()) == 4
     assert len({start.run for start in rig.started()[2:]}) == 1
@@ -235,8 +235,8 @@
     rig.accept("gang", spec(StepSpec(2, HALF_A_VM, gang=True, spread=1)))
     rig.tick()
     first, second = rig.started()
-    rig.run(first)
-    rig.hear_all()
+    rig.hold(first)
+    rig.report_all()
     rig.scheduler.start_refused(second.vm, second.task, 1, StartRefusal.TICKET, True)
     rig.tick()
     assert [stop.task for stop in rig.stopped()] == [first.task]
@@ -245,21 +245,21 @@
 def test_a_vm_with_a_valid_ticket_goes_before_a_fuller_one() -> None:
     advised_queue = queue("q", 0, AdviceTerms(700.0, 5.0, 2000.0))
     rig = Rig(vms=2, queues=(advised_queue, queue("other")))
-    rig.scheduler.advice.set_lanes({"one"})
+    rig.scheduler.advice.set_call_slots({"one"})
     rig.scheduler.submit("job", advised_queue, spec(StepSpec(1, HALF_A_VM)))
     rig.tick()
-    call = rig.asked()[0]
+    call = rig.advice_calls()[0]
     tickets = dict.fromkeys(call.vms, "t")
-    rig.scheduler.advice.answered(call.lane, call.step, call.vms, tickets, 2000.0)
+    rig.scheduler.advice.answered(call.call_slot, call.step, call.vms, tickets, 2000.0)
     rig.clock.time += 3.0
-    rig.hear_all()
+    rig.report_all()
     # Only w1 has a new ticket, although w0 is fuller.
     rig.scheduler.advice.answered("one", call.step, ("w1",), {"w1": "t"}, 2000.0)
     advice = rig.scheduler.state.jobs["job"].steps[(0, 0)].advice
     assert advice is not None
-    advice.good["w1"].until = rig.clock.time + 2.0
+    advice.tickets["w1"].until = rig.clock.time + 2.0
     row = rig.scheduler.state.vms["w0"]
-    row.room = row.room.plus(HALF_A_VM, -1)
+    row.free_capacity = row.free_capacity.plus(HALF_A_VM, -1)
     rig.commit()
     rig.tick()
     assert [start.vm for start in rig.started()] == ["w1"]
@@ -270,16 +270,16 @@
     rig.accept("full", spec(StepSpec(1, Shape(16_000, 1_000))))
     rig.tick()
     (full,) = rig.started()
-    rig.run(full)
+    rig.hold(full)
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
     first = rig.started()[-1]
-    rig.end(first, "failed")
-    rig.hear_all()
+    rig.complete(first, "failed")
+    rig.report_all()
     rig.tick(0.3)
     assert rig.started()[-1] is first
-    rig.end(full, "done")
-    rig.hear_all()
+    rig.complete(full, "done")
+    rig.report_all()
     rig.tick()
     again = rig.started()[-1]
     assert (again.task, again.vm) == (first.task, full.vm)
@@ -289,8 +289,8 @@
     rig = Rig(vms=1)
     rig.accept("job", spec(StepSpec(1, CORE)))
     rig.tick()
-    rig.end(rig.started()[-1], "failed")
-    rig.hear_all()
+    rig.complete(rig.started()[-1], "failed")
+    rig.report_all()
     rig.tick(0.5)
     assert len(rig.started()) == 1
     rig.wait(0.6)
--- a/tests/jobs/test_sizes.py
+++ b/tests/jobs/test_sizes.py
@@ -7,7 +7,7 @@
 from sablemount.control.messages import CallerCall, Operation, Outcome
 from sablemount.jobs.model import JobSpec, QueueTerms, StepSpec
 from sablemount.jobs.records import JobRecord, Progress, Record, decode_progress
-from sablemount.jobs.sizes import call_size, progress_record, record_fault, record_size
+from sablemount.jobs.sizes import call_size, progress_record, record_size, record_size_error
 from sablemount.platform.store import encode_records
 from tests.emulator.loop import run
 from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
@@ -70,21 +70,21 @@
             rig.scheduler.lifecycle.task_done(task)
     record = progress_record("job", rig.scheduler.lifecycle.progress(row), 10 * RECORD_BYTES)
     size = record_size(record)
-    assert record_fault("job", row.record, size - 1) is not None
-    assert record_fault("job", row.record, int(size * 1.6) + 1_000) is None
+    assert record_size_error("job", row.record, size - 1) is not None
+    assert record_size_error("job", row.record, int(size * 1.6) + 1_000) is None
 
 
 def test_too_many_repetitions_are_refused_by_their_field() -> None:
     job = JobSpec("payload", (StepSpec(1, CORE),), 2**62, 1.0, 1.0)
-    fault = record_fault("job", JobRecord(queue().terms, job, 1.0, 1), RECORD_BYTES)
+    fault = record_size_error("job", JobRecord(queue().terms, job, 1.0, 1), RECORD_BYTES)
     assert fault is not None and fault.path == "$.times"
 
 
 def test_queue_terms_count_towards_the_size_of_a_record() -> None:
     job = spec(StepSpec(1, CORE, label="x" * 249_000))
-    assert record_fault("job", JobRecord(queue().terms, job, 1.0, 1), RECORD_BYTES) is None
+    assert record_size_error("job", JobRecord(queue().terms, job, 1.0, 1), RECORD_BYTES) is None
     terms = QueueTerms("x" * 14_000, "pool")
-    fault = record_fault("job", JobRecord(terms, job, 1.0, 1), RECORD_BYTES)
+    fault = record_size_error("job", JobRecord(terms, job, 1.0, 1), RECORD_BYTES)
     assert fault is not None and fault.path == "$.steps"
 
 
--- a/tests/jobs/test_speeds.py
+++ b/tests/jobs/test_speeds.py
@@ -97,10 +97,10 @@
             duration = work * tail * rng.lognormvariate(0.0, 0.15) / self._true_speeds[number]
             run = RunRow(task.key, 1, f"w{number}", CORE, 0.0, RunState.RUNNING)
             run.started_at = rig.scheduler.state.now - duration
-            self.speeds.done(rig.scheduler.state.vms[f"w{number}"], task, run)
+            self.speeds.record_completion(rig.scheduler.state.vms[f"w{number}"], task, run)
         rig.scheduler.cancel(job.name)
         rig.clock.time += 0.05
-        rig.scheduler.now()
+        rig.scheduler.update_time()
         self.speeds.run()
 
     def ratio(self) -> float:
@@ -130,7 +130,7 @@
     rig = simulated.rig
     work = StepSpec(tasks, Shape(4_000, 4_000), expected_ms=5_300.0, gang=True)
     rig.accept("gang", spec(work), SURVEY)
-    rig.hear_all()
+    rig.report_all()
     rig.tick()
     started = [start.vm for start in rig.started() if start.task.startswith("gang")]
     assert len(started) == tasks
@@ -150,7 +150,7 @@
 @pytest.mark.parametrize("off", [0.2, 0.5, 0.9])
 def test_speeds_are_found_though_guesses_are_off(off: float) -> None:
     simulated = _with_learned_speeds(off)
-    assert simulated.rig.scheduler.state.uneven
+    assert simulated.rig.scheduler.state.speeds_uneven
     assert 0.8 * FAST / SLOW < simulated.ratio() < 1.25 * FAST / SLOW
 
 
@@ -158,7 +158,7 @@
     simulated = _SimulatedRuns([0.9, 1.0, 1.1, 1.2] * 6, 0.9)
     for _ in range(300):
         simulated.step(3)
-        assert not simulated.rig.scheduler.state.uneven
+        assert not simulated.rig.scheduler.state.speeds_uneven
 
 
 def test_the_first_few_vms_that_are_known_make_no_cell_uneven() -> None:
@@ -168,7 +168,7 @@
         simulated._rng.seed(seed)
         for _ in range(60):
             simulated.step(3)
-            assert not simulated.rig.scheduler.state.uneven
+            assert not simulated.rig.scheduler.state.speeds_uneven
 
 
 def test_a_few_vms_that_turn_slow_make_no_cell_uneven() -> None:
@@ -179,7 +179,7 @@
     simulated._true_speeds[:4] = [0.2] * 4
     for _ in range(200):
         simulated.step(3)
-        assert not simulated.rig.scheduler.state.uneven
+        assert not simulated.rig.scheduler.state.speeds_uneven
 
 
 def test_a_vm_that_turns_slow_is_recognised_within_some_completions_and_recovers() -> None:
@@ -202,8 +202,8 @@
     task = job.steps[(0, 0)].tasks[0]
     run = RunRow(task.key, 1, "w0", CORE, 0.0, RunState.RUNNING, resumed=True)
     run.started_at = rig.scheduler.state.now - 0.5
-    speeds = Speeds(rig.scheduler.state, rig.scheduler.journal.note_runs)
-    speeds.done(rig.scheduler.state.vms["w0"], task, run)
+    speeds = Speeds(rig.scheduler.state, rig.scheduler.journal.update_vm_record)
+    speeds.record_completion(rig.scheduler.state.vms["w0"], task, run)
     assert not speeds._estimates
 
 
@@ -217,9 +217,9 @@
     simulated = _with_learned_speeds(0.2)
     simulated.rig.commit()
     later = simulated.rig.successor()
-    later.hear_all()
+    later.report_all()
     later.tick(0.6)
-    assert later.scheduler.state.uneven
+    assert later.scheduler.state.speeds_uneven
     for name, row in later.scheduler.state.vms.items():
         assert (later.scheduler.speeds.of(row) > 0) is (
             simulated._true_speeds[int(name[1:])] == FAST
--- a/tests/jobs/test_start_validity.py
+++ b/tests/jobs/test_start_validity.py
@@ -12,7 +12,7 @@
 
 from sablemount.control.ports import CallError
 from sablemount.control.vm_calls import VmCalls
-from sablemount.jobs.actions import Heard
+from sablemount.jobs.actions import VmReport
 from sablemount.jobs.model import StepSpec
 from tests.emulator.loop import run
 from tests.jobs.rig import CORE, Rig, spec
@@ -32,7 +32,7 @@
     async def scenario() -> None:
         rig = Rig(vms=1)
         rig.clock.time = asyncio.get_running_loop().time()
-        rig.hear("w0")
+        rig.report("w0")
         rig.accept("job", spec(StepSpec(1, CORE)))
         (start,) = [action for action in rig.tick() if hasattr(action, "not_after")]
         port = _Port()
@@ -45,10 +45,10 @@
         vm_calls.start(start)
         # A poll's answer that was long on its way arrives just before the start request is sent.
         clock_ms = rig.clock.time * 1000.0 + ahead_ms
-        rig.scheduler.heard(Heard("w0", rig.clock.time, clock_ms, (), ()))
+        rig.scheduler.vm_reported(VmReport("w0", rig.clock.time, clock_ms, (), ()))
         await asyncio.sleep(0.01)
         assert port.until
-        assert max(port.until) <= placed.settle_clock
+        assert max(port.until) <= placed.settle_clock_ms
         vm_calls.close()
 
     run(scenario())
--- a/tests/jobs/test_starts.py
+++ b/tests/jobs/test_starts.py
@@ -27,12 +27,12 @@
     """Run a job's task and lose it with its VM; return the VM too."""
     rig = Rig(vms)
     rig.accept("a", spec(StepSpec(1, CORE)))
-    rig.run_all()
-    rig.notes_at_once = False
+    rig.start_and_hold_all()
+    rig.records_at_once = False
     vm = rig.started()[0].vm
     rig.running[vm].clear()
-    rig.listed.remove(vm)
-    rig.scheduler.vms.died(vm)
+    rig.vm_names.remove(vm)
+    rig.scheduler.vms.incarnation_ended(vm)
     return rig, vm
 
 
@@ -41,14 +41,14 @@
     rig = Rig(vms=3)
     rig.accept("a", spec(step))
     later = rig.successor()
-    later.notes_at_once = False
-    later.hear_all()
+    later.records_at_once = False
+    later.report_all()
     return later
 
 
 def test_the_first_start_of_a_task_is_not_delayed() -> None:
     rig = Rig()
-    rig.notes_at_once = False
+    rig.records_at_once = False
     rig.accept("a", spec(StepSpec(1, CORE)))
     assert [start.task for start in _start_requests(rig)] == [TASK]
 
@@ -74,13 +74,13 @@
 def test_a_task_lost_with_a_vm_that_left_as_planned_is_not_delayed() -> None:
     rig = Rig()
     rig.accept("a", spec(StepSpec(1, CORE)))
-    rig.run_all()
-    rig.notes_at_once = False
+    rig.start_and_hold_all()
+    rig.records_at_once = False
     vm = rig.started()[0].vm
     info = msgspec.structs.replace(rig.scheduler.state.vms[vm].info, draining=True)
-    rig.scheduler.told(info)
-    rig.listed.remove(vm)
-    rig.scheduler.vms.died(vm)
+    rig.scheduler.update_vm(info)
+    rig.vm_names.remove(vm)
+    rig.scheduler.vms.incarnation_ended(vm)
     assert [start.task for start in _start_requests(rig)] == [TASK]
 
 
@@ -88,24 +88,24 @@
     rig, _ = _lose_task()
     rig.tick()
     rig.clock.time += 1.4
-    rig.hear_all()
+    rig.report_all()
     rig.commit()
     (start,) = _start_requests(rig)
-    valid_s = rig.scheduler.state.settings.start_valid
+    valid_s = rig.scheduler.state.settings.start_validity_s
     assert start.not_after == pytest.approx(rig.clock.time + valid_s)
 
 
 def test_no_capacity_is_reserved_for_starts_that_wait_for_a_silent_store() -> None:
     rig, _ = _lose_task(vms=2)
     rig.tick()
-    (row,) = (row for row in rig.scheduler.state.vms.values() if not row.gone)
-    assert row.room.cores == CAPACITY.cores - CORE.cores
-    rig.scheduler.now()
-    assert rig.scheduler.tick(noting=False) == []
-    assert row.room.cores == CAPACITY.cores
+    (row,) = (row for row in rig.scheduler.state.vms.values() if not row.terminated)
+    assert row.free_capacity.cores == CAPACITY.cores - CORE.cores
+    rig.scheduler.update_time()
+    assert rig.scheduler.tick(store_answers=False) == []
+    assert row.free_capacity.cores == CAPACITY.cores
     assert not row.runs
     # The start is tried again as soon as the store answers.
-    rig.scheduler.tick(noting=True)
+    rig.scheduler.tick(store_answers=True)
     rig.commit()
     assert [start.task for start in _start_requests(rig)] == [TASK]
 
@@ -117,19 +117,19 @@
     used = [row for row in rig.scheduler.state.vms.values() if row.runs]
     assert len(used) == 2
     if why == "drains":
-        rig.scheduler.told(msgspec.structs.replace(used[0].info, draining=True))
+        rig.scheduler.update_vm(msgspec.structs.replace(used[0].info, draining=True))
     elif why == "silent":
         rig.clock.time += 3.0
-        rig.hear(used[1].name)
+        rig.report(used[1].name)
     else:
-        rig.listed.remove(used[0].name)
-        rig.scheduler.vms.died(used[0].name)
+        rig.vm_names.remove(used[0].name)
+        rig.scheduler.vms.incarnation_ended(used[0].name)
     rig.commit()
-    rig.listed = [name for name in rig.listed if name != used[0].name]
+    rig.vm_names = [name for name in rig.vm_names if name != used[0].name]
     first = _start_requests(rig)
     assert first == []
     # Once the other VMs have capacity for the whole gang, it is placed there.
-    rig.hear_all()
+    rig.report_all()
     rig.tick(0.3)
     rig.commit()
     starts = _start_requests(rig)
@@ -164,9 +164,9 @@
 def _add_crashes(rig: Rig, name: str, vms: list[str]) -> None:
     """Let VMs have crashed under a job's task, as recorded by a previous leader."""
     job = rig.scheduler.state.jobs[name]
-    job.watched = True
+    job.has_crashes = True
     job.steps[(0, 0)].tasks[0].crashes = vms
-    rig.scheduler.state.suspected[name] = job
+    rig.scheduler.state.suspected_jobs[name] = job
 
 
 def test_a_vm_that_had_crashed_before_the_order_does_not_count() -> None:
@@ -179,19 +179,19 @@
     rig.accept("a", spec(StepSpec(1, CORE)))
     _add_crashes(rig, "a", ["x", "y", "z"])
     rig.clock.time += 0.4
-    rig.listed = ["w1", "w2"]
-    rig.hear_all()
+    rig.vm_names = ["w1", "w2"]
+    rig.report_all()
     crashed = rig.scheduler.state.vms["w0"]
     # The VM with the most free capacity is chosen, which is the one that has crashed.
-    rig.scheduler.state.vms["w1"].room = rig.scheduler.state.vms["w2"].room = CORE
+    rig.scheduler.state.vms["w1"].free_capacity = rig.scheduler.state.vms["w2"].free_capacity = CORE
     for _ in range(80):
         rig.tick(0.05)
-        rig.hear_all()
+        rig.report_all()
         if rig.started():
             break
     (start,) = rig.started()
-    rig.run(start)
-    rig.hear_all()
-    rig.scheduler.vms.died(crashed.name)
+    rig.hold(start)
+    rig.report_all()
+    rig.scheduler.vms.incarnation_ended(crashed.name)
     assert start.vm != crashed.name
     assert rig.scheduler.state.jobs["a"].state is not JobState.FAILED
--- a/tests/jobs/test_store_lost.py
+++ b/tests/jobs/test_store_lost.py
@@ -8,7 +8,7 @@
 from sablemount.control.messages import Announce, Outcome
 from tests.emulator.loop import run
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 MEMBERS = 12
 REFUSED_MEMBERS = 5
@@ -18,7 +18,7 @@
     """Have the store refuse the leader and some members; return the system and the leader's
     name."""
     system = System(seed, members=MEMBERS)
-    leader = await begun(system)
+    leader = await start_system(system)
     others = [name for name in system.names if name != leader]
     system.store.turned_away.update([leader, *others[: REFUSED_MEMBERS - 1]])
     return system, leader
@@ -75,7 +75,7 @@
 async def _time_to_replace(seed: int, fail_leader: Callable[[System, str], None]) -> float:
     """Fail the leader; return the seconds until another one leads, which is the only one."""
     system = System(seed, members=MEMBERS)
-    previous = await begun(system)
+    previous = await start_system(system)
     loop = asyncio.get_running_loop()
     began = loop.time()
     fail_leader(system, previous)
@@ -109,7 +109,7 @@
 def test_members_that_come_by_themselves_are_not_called() -> None:
     async def scenario() -> None:
         system = System(1, members=MEMBERS)
-        previous = await begun(system)
+        previous = await start_system(system)
         announced_to: list[str] = []
         for name, listener in system.wires.listening.items():
             handler = listener.handler
--- a/tests/jobs/test_store_mixes.py
+++ b/tests/jobs/test_store_mixes.py
@@ -12,7 +12,7 @@
 from tests.emulator.loop import run
 from tests.emulator.mixes import play, play_organisations, play_store
 from tests.emulator.store_faults import STORE_FAULTS, draw
-from tests.jobs.running import mix
+from tests.jobs.running import fault_mix
 
 FIRST_BATCH_LOST = (26, 198, 208, 220, 406, 918)
 OF_ALL_KINDS = (31, 73)
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("seed", OF_ALL_KINDS)
 def test_mixes_of_all_kinds(seed: int) -> None:
-    assert run(play(100 + seed, mix(seed), advice=seed % 2 == 0)) == []
+    assert run(play(100 + seed, fault_mix(seed), advice=seed % 2 == 0)) == []
 
 
 def test_caps_that_a_new_leader_does_not_know() -> None:
--- a/tests/jobs/test_store_outage.py
+++ b/tests/jobs/test_store_outage.py
@@ -7,7 +7,7 @@
 from sablemount.control.messages import LeaderRecord
 from tests.emulator.loop import run
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 OUTAGE_S = 4.2
 PHASE_STEP_S = 0.05
@@ -40,7 +40,7 @@
 def test_a_leader_that_alone_is_without_the_store_is_replaced_soon() -> None:
     async def scenario() -> None:
         system = System(60)
-        leader = await begun(system)
+        leader = await start_system(system)
         system.store.turned_away.add(leader)
         await asyncio.sleep(0.9)
         assert system.leader() not in (None, leader)
--- a/tests/jobs/test_stuck_load.py
+++ b/tests/jobs/test_stuck_load.py
@@ -10,10 +10,10 @@
 from sablemount.control.store import Topic
 from tests.emulator.loop import run
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 MEMBERS = 12
-SMALL = MachineLimits(link=5.0)
+SMALL = MachineLimits(link_mbps=5.0)
 TAKEOVER_LIMIT_S = 6.0
 """Seconds within which another member leads; callers retry for longer."""
 COMPLETION_LIMIT_S = 30.0
@@ -55,7 +55,7 @@
     system.limits = dict.fromkeys(system.names[2:], SMALL)
     system.start(first)
     await asyncio.sleep(0.5)
-    assert await begun(system) == first
+    assert await start_system(system) == first
     await system.traffic("a", count, 0.02)
     assert system.accepted
     return system, first, second
@@ -179,7 +179,7 @@
         system.start(first)
         _ignore_configuration_calls(system, first)
         await asyncio.sleep(0.5)
-        assert await begun(system) == first
+        assert await start_system(system) == first
         system.store.blind.add(second)
         system.store.unread[second] = ""
         system.configure(2)
@@ -227,7 +227,7 @@
         system.start(first)
         _ignore_configuration_calls(system, first)
         await asyncio.sleep(0.5)
-        assert await begun(system) == first
+        assert await start_system(system) == first
         system.store.blind.update(system.names)
         system.configure(2)
         await asyncio.sleep(12.0)
--- a/tests/jobs/test_take_over.py
+++ b/tests/jobs/test_take_over.py
@@ -7,7 +7,7 @@
 from sablemount.control.messages import Outcome
 from tests.emulator.loop import run
 from tests.emulator.system import System
-from tests.jobs.running import begun
+from tests.jobs.running import start_system
 
 SLOW_LATENCY_S = 0.45
 """Latency of the store with which a load takes more than one second."""
@@ -29,7 +29,7 @@
 def test_a_leader_that_took_long_to_load_serves_at_once() -> None:
     async def scenario() -> None:
         system = System(31, vms=4)
-        first = await begun(system)
+        first = await start_system(system)
         system.store.latency = SLOW_LATENCY_S
         system.kill(first, None)
         await asyncio.sleep(0.01)
@@ -47,7 +47,7 @@
 
     async def scenario() -> None:
         system = System(seed, members=12)
-        first = await begun(system)
+        first = await start_system(system)
         system.store.latency = VERY_SLOW_LATENCY_S
         system.kill(first, None)
         await asyncio.sleep(0.01)
--- a/tests/jobs/test_use_records.py
+++ b/tests/jobs/test_use_records.py
@@ -23,18 +23,18 @@
     rig = Rig(vms=1)
     scheduler = rig.scheduler
     row = scheduler.state.vms["w0"]
-    scheduler.journal.unuse(row)
+    scheduler.journal.record_disuse(row)
     rig.commit()
-    scheduler.journal.use(row)
+    scheduler.journal.record_use(row)
     first = scheduler.next_batch()
-    scheduler.journal.unuse(row)
+    scheduler.journal.record_disuse(row)
     second = scheduler.next_batch()
-    scheduler.journal.use(row)
-    scheduler.durable(first)
+    scheduler.journal.record_use(row)
+    scheduler.batch_stored(first)
     assert not row.in_use or _is_stored([first, second], "w/w0")
-    scheduler.durable(second)
+    scheduler.batch_stored(second)
     assert not row.in_use
     third = scheduler.next_batch()
-    scheduler.durable(third)
+    scheduler.batch_stored(third)
     assert row.in_use
     assert _is_stored([first, second, third], "w/w0")
--- a/tests/jobs/test_watch.py
+++ b/tests/jobs/test_watch.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sablemount.control.store import Producer, Topic
-from sablemount.jobs.actions import EndReport
+from sablemount.jobs.actions import CompletionReport
 from sablemount.jobs.records import Progress, Record, StepProgress, encode
 from sablemount.jobs.tables import JobState
 from tests.emulator.loop import run
@@ -141,31 +141,31 @@
 @pytest.mark.parametrize("outcome", ["done", "failed"])
 def test_an_acknowledged_end_that_is_not_in_the_store(outcome: str) -> None:
     rig = _Rig([ACCEPTED], [_progress(Progress(1, {"0.0": StepProgress("2", {2: (1,)})}))])
-    rig.watch.acknowledged(1, "vm", EndReport(7, "a.0.0.0", 1, outcome))
+    rig.watch.acknowledged(1, "vm", CompletionReport(7, "a.0.0.0", 1, outcome))
     rig.only("epoch 1", "end 7 of vm", "a.0.0.0")
 
 
 def test_an_acknowledged_failure_of_another_run() -> None:
     rig = _Rig([ACCEPTED], [_progress(Progress(1, {"0.0": StepProgress("", {0: (1,)})}))])
-    rig.watch.acknowledged(1, "vm", EndReport(7, "a.0.0.0", 2, "failed"))
+    rig.watch.acknowledged(1, "vm", CompletionReport(7, "a.0.0.0", 2, "failed"))
     rig.only("epoch 1", "end 7 of vm", "run 2")
 
 
 def test_an_acknowledged_end_of_a_job_without_progress() -> None:
     rig = _Rig([ACCEPTED])
-    rig.watch.acknowledged(1, "vm", EndReport(1, "a.0.0.0", 1, "done"))
+    rig.watch.acknowledged(1, "vm", CompletionReport(1, "a.0.0.0", 1, "done"))
     rig.only("epoch 1", "end 1 of vm")
 
 
 def test_acknowledged_ends_that_the_store_covers() -> None:
     rig = _Rig([ACCEPTED], [_progress(Progress(1, {"0.0": StepProgress("2", {0: (1, 3)})}))])
-    rig.watch.acknowledged(1, "vm", EndReport(1, "a.0.0.0", 3, "failed"))
-    rig.watch.acknowledged(1, "vm", EndReport(2, "a.0.0.1", 1, "done"))
-    rig.watch.acknowledged(1, "vm", EndReport(3, "a.0.0.1", 1, "failed"))
-    rig.watch.acknowledged(1, "vm", EndReport(4, "a.0.0.2", 1, "lapsed"))
+    rig.watch.acknowledged(1, "vm", CompletionReport(1, "a.0.0.0", 3, "failed"))
+    rig.watch.acknowledged(1, "vm", CompletionReport(2, "a.0.0.1", 1, "done"))
+    rig.watch.acknowledged(1, "vm", CompletionReport(3, "a.0.0.1", 1, "failed"))
+    rig.watch.acknowledged(1, "vm", CompletionReport(4, "a.0.0.2", 1, "lapsed"))
     rig.append([ENDED, Record("j/a")], 1, 2)
     rig.append([Record("p/a")], 1, 3)
-    rig.watch.acknowledged(1, "vm", EndReport(5, "a.0.0.3", 1, "done"))
+    rig.watch.acknowledged(1, "vm", CompletionReport(5, "a.0.0.3", 1, "done"))
     rig.none()
 
 
--- a/tests/platform/test_codecs.py
+++ b/tests/platform/test_codecs.py
@@ -135,12 +135,12 @@
     member = settings.member_settings(loaded.ok_value)
     assert member.rpc_address == "10.1.0.13:7720"
     # A lease is never longer than wanted, nor than the platform grants.
-    assert (member.jobs.lease, member.jobs.state_kept) == (6.0, 90.0)
+    assert (member.jobs.lease_s, member.jobs.state_retention_s) == (6.0, 90.0)
     assert (member.fail_closed, member.revoke_after) == (True, 2.5)
     assert member.jobs.cap_overage == 0.1
     assert loaded.ok_value.keyed
     short = msgspec.structs.replace(loaded.ok_value, bounds=settings.Bounds(hold_max_ms=4000))
-    assert settings.member_settings(short).jobs.lease == 4.0
+    assert settings.member_settings(short).jobs.lease_s == 4.0
 
 
 def test_the_bytes_that_the_store_takes_are_read() -> None:
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -207,12 +207,12 @@
     tell: Callable[[Rig, VmInfo], object],
 ) -> None:
     rig = Rig(vms=0)
-    rig.scheduler.configured(Configuration(2, pools=frozenset({"pool"})))
+    rig.scheduler.apply_configuration(Configuration(2, pools=frozenset({"pool"})))
     tell(rig, _info("x", "other"))
     assert "x" not in rig.scheduler.state.vms
     rig.commit()
     assert "w/x" not in rig.store
-    rig.scheduler.configured(Configuration(3, pools=frozenset({"pool", "other"})))
+    rig.scheduler.apply_configuration(Configuration(3, pools=frozenset({"pool", "other"})))
     assert "x" in rig.scheduler.state.vms
 
 
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -10,7 +10,7 @@
 
 from sablemount.adapters.upstream import Answer
 from sablemount.control.ports import HoldCall
-from sablemount.jobs.actions import Heard, OtherLife
+from sablemount.jobs.actions import LaterIncarnation, VmReport
 from sablemount.jobs.records import Record
 from sablemount.platform.directory import PlatformDirectory
 from sablemount.platform.lives import entry_of, is_plain, life_name
@@ -53,10 +53,10 @@
 def test_an_entry_names_the_life_and_the_id_that_it_shares() -> None:
     told = PlatformDirectory().vm(Record("i-1", json.dumps({**ENTRY, "born": BORN}).encode()))
     assert told is not None
-    assert (told.name, told.entry, told.born) == (LIFE, "i-1", BORN)
+    assert (told.name, told.entry_key, told.born) == (LIFE, "i-1", BORN)
     without = PlatformDirectory().vm(Record("i-1", json.dumps(ENTRY).encode()))
     assert without is not None
-    assert (without.name, without.entry, without.born) == ("i-1", "i-1", 0)
+    assert (without.name, without.entry_key, without.born) == ("i-1", "i-1", 0)
 
 
 @pytest.mark.parametrize("born", [-1, 1.5, "1", None])
@@ -67,21 +67,21 @@
 
 def test_a_worker_is_called_by_its_id() -> None:
     result, pool = _hold(LIFE, born=BORN)
-    assert isinstance(result, Heard)
+    assert isinstance(result, VmReport)
     assert result.vm == LIFE
     assert pool.headers[0]["Expect-Instance"] == "i-1"
 
 
 def test_the_word_of_another_life_is_not_taken_for_that_of_the_one_that_was_called() -> None:
     result, _ = _hold(LIFE, born=BORN + 1)
-    assert result == OtherLife(f"i-1/{BORN + 1}", BORN + 1)
+    assert result == LaterIncarnation(f"i-1/{BORN + 1}", BORN + 1)
     result, _ = _hold("i-1", born=BORN)
-    assert result == OtherLife(LIFE, BORN)
+    assert result == LaterIncarnation(LIFE, BORN)
 
 
 def test_a_word_that_tells_no_start_is_of_the_life_that_was_called() -> None:
     result, _ = _hold(LIFE)
-    assert isinstance(result, Heard)
+    assert isinstance(result, VmReport)
 
 
 def test_advice_is_asked_by_ids_and_told_by_lives() -> None:
--- a/tests/test_boottime.py
+++ b/tests/test_boottime.py
@@ -12,7 +12,7 @@
 import pytest
 
 from sablemount import boottime
-from sablemount.control.authority import AUTHORITY_TIME, Authority
+from sablemount.control.authority import AUTHORITY_VALIDITY_S, Authority
 from sablemount.control.clock import monotonic
 
 SOURCE = Path(__file__).parents[1] / "src" / "sablemount"
@@ -72,7 +72,7 @@
         asked = []
         authority = Authority(lambda: confirmed_at, lambda: False, lambda: asked.append(1))
         before = authority.holds()
-        machine.suspended = AUTHORITY_TIME + 0.1
+        machine.suspended = AUTHORITY_VALIDITY_S + 0.1
         after = authority.holds()
         assert asked
         return before, after
--- a/tests/test_structured_logs.py
+++ b/tests/test_structured_logs.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from sablemount.jobs.job_lines import job_ended, runs_placed
+from sablemount.jobs.job_lines import log_job_end, log_placement
 from sablemount.jobs.model import JobSpec, QueueTerms, Shape, StepSpec, VmInfo
 from sablemount.jobs.records import JobRecord
-from sablemount.jobs.tables import JobRow, RunEnd, StepRow, VmRow
+from sablemount.jobs.tables import JobRow, RunCompletion, StepRow, VmRow
 from sablemount.structured_logs import (
     DECISION_BURST,
     RUN_BURST,
@@ -150,10 +150,12 @@
     row = StepRow(job, 0, 0, step)
     row.make_tasks()
     vm = VmRow(VmInfo(vm_name, "address", "pool", Shape(16_000, 64_000)))
-    runs_placed(logger, row, [(task, vm) for task in row.tasks], now)
+    log_placement(logger, row, [(task, vm) for task in row.tasks], now)
     began = now + began_after
-    job.run_ends = [RunEnd(task.key, 1, vm.name, began, began + 1.0, "done") for task in row.tasks]
-    job_ended(logger, job, now + 1.0, 0.0)
+    job.run_completions = [
+        RunCompletion(task.key, 1, vm.name, began, began + 1.0, "done") for task in row.tasks
+    ]
+    log_job_end(logger, job, now + 1.0, 0.0)
 
 
 def test_no_line_of_a_wide_job_is_longer_than_readers_take() -> None:
