--- a/src/sablemount/entry/application.py
+++ b/src/sablemount/entry/application.py
@@ -213,7 +213,7 @@
     def get(self) -> None:
         """Return the counts behind the burn report."""
         runtime = self.runtime
-        self.reply(burn_of(runtime.scheduler.state, runtime.meter.counters, runtime.burn))
+        self.reply(burn_of(runtime.scheduler.state, runtime.meter.counters, runtime.burn_history))
 
 
 class HealthHandler(Handler):
--- a/src/sablemount/structured_logs.py
+++ b/src/sablemount/structured_logs.py
@@ -1,9 +1,9 @@
-"""Structured log lines on standard output: one JSON object a line, bounded, never blocking.
+"""Structured logging to standard output: one JSON object per line, rate-limited and non-blocking.
 
-A line carries what was handed to ``extra``. Lines of decisions (requests, leadership,
-dependencies) and lines of single runs have budgets of their own, so that many runs never keep a
-decision's line from being written. What goes beyond a budget, or finds nobody who reads, is dropped
-and counted; the next line that gets out tells how many.
+A line contains the fields passed in ``extra``. Decision lines (requests, leadership, dependencies)
+and run lines (about single runs) have separate byte budgets, so that many runs cannot crowd out
+decisions. A line that exceeds its budget, or that the reader of standard output does not take in
+time, is dropped and counted; the next line that is written reports the number of dropped lines.
 """
 
 import logging
@@ -16,31 +16,31 @@
 
 from sablemount.boottime import monotonic
 
-__all__ = ["RUN_LOGGER", "BoundedHandler", "Budget", "StructuredFormatter", "configure"]
+__all__ = ["RUN_LOGGER", "BoundedHandler", "ByteBudget", "StructuredFormatter", "configure"]
 
 RUN_LOGGER = "sablemount.jobs.runs"
-"""Name of the logger whose lines are about single runs."""
-DECISION_BYTES_A_SECOND = 512_000.0
-"""Twenty times what the decisions of 40 jobs and 400 starts a second take."""
+"""Name of the logger for lines about single runs."""
+DECISION_BYTES_PER_SECOND = 512_000.0
+"""Twenty times the volume of the decisions at 40 jobs and 400 starts per second."""
 DECISION_BURST = 2_000_000.0
-"""Bytes; a new leader tells of each VM and of each job at once."""
-RUN_BYTES_A_SECOND = 48_000.0
-"""About 400 lines a second."""
+"""A new leader logs a line for each VM and each job at once."""
+RUN_BYTES_PER_SECOND = 48_000.0
+"""About 400 lines per second."""
 RUN_BURST = 240_000.0
-UNSENT_BYTES = 1_000_000
-"""Bytes of decisions that wait for a reader at most."""
-_STANDARD = frozenset(logging.makeLogRecord({}).__dict__) | {"message", "asctime"}
+MAX_UNSENT_BYTES = 1_000_000
+"""A decision line is dropped while this many bytes wait for the reader."""
+_STANDARD_ATTRIBUTES = frozenset(logging.makeLogRecord({}).__dict__) | {"message", "asctime"}
 
 
 class StructuredFormatter(logging.Formatter):
-    """Formats a record as JSON with its extra fields."""
+    """Formats a record as a JSON object that includes its extra fields."""
 
     def __init__(self) -> None:
         super().__init__()
         self._encoder = msgspec.json.Encoder()
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as one line."""
+        """Return the record as one line of JSON."""
         line: dict[str, Any] = {
             "time": round(record.created, 3),
             "level": record.levelname.lower(),
@@ -48,86 +48,96 @@
             "message": record.getMessage(),
         }
         for key, value in record.__dict__.items():
-            if key not in _STANDARD:
+            if key not in _STANDARD_ATTRIBUTES:
                 line[key] = value
         if record.exc_info:
             line["exception"] = self.formatException(record.exc_info)
         return self._encoder.encode(line).decode()
 
 
-class Budget:
-    """Bytes that one class of lines may take; a line may overdraw it once it is not empty."""
+class ByteBudget:
+    """A token bucket, in bytes, for one class of lines.
 
-    def __init__(self, bytes_a_second: float, burst: float, clock: Callable[[], float]) -> None:
-        self._rate = bytes_a_second
-        self._burst = burst
+    A line may be written while any bytes are left, even if it is larger than the remainder.
+    """
+
+    def __init__(
+        self, bytes_per_second: float, burst_bytes: float, clock: Callable[[], float]
+    ) -> None:
+        self._bytes_per_second = bytes_per_second
+        self._burst_bytes = burst_bytes
         self._clock = clock
-        self._left = burst
-        self._filled_at = clock()
+        self._remaining = burst_bytes
+        self._refilled_at = clock()
         self.dropped = 0
-        """Lines dropped so far."""
-        self.untold = 0
-        """Those of them that no line has told of yet."""
+        """Number of lines dropped so far."""
+        self.unreported = 0
+        """Number of dropped lines that no written line has reported yet."""
 
-    def open(self) -> bool:
-        """Tell whether a line may be written now."""
+    def has_bytes_left(self) -> bool:
+        """Refill the budget and return whether a line may be written now."""
         now = self._clock()
-        self._left = min(self._burst, self._left + (now - self._filled_at) * self._rate)
-        self._filled_at = now
-        return self._left > 0
-
-    def take(self, size: int) -> None:
-        """Take what a line needs."""
-        self._left -= size
-
-    def drop(self) -> None:
-        """Count a line that is not written."""
+        self._remaining = min(
+            self._burst_bytes, self._remaining + (now - self._refilled_at) * self._bytes_per_second
+        )
+        self._refilled_at = now
+        return self._remaining > 0
+
+    def consume(self, size: int) -> None:
+        """Deduct the size of a written line, in bytes."""
+        self._remaining -= size
+
+    def count_dropped(self) -> None:
+        """Count a line that was not written."""
         self.dropped += 1
-        self.untold += 1
+        self.unreported += 1
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines within their budgets to a descriptor that does not block."""
+    """Writes lines to a non-blocking file descriptor, within the byte budget of their class."""
 
     def __init__(self, descriptor: int, clock: Callable[[], float] = monotonic) -> None:
         super().__init__()
         self._descriptor = descriptor
-        self.decisions = Budget(DECISION_BYTES_A_SECOND, DECISION_BURST, clock)
-        self.runs = Budget(RUN_BYTES_A_SECOND, RUN_BURST, clock)
+        self.decisions = ByteBudget(DECISION_BYTES_PER_SECOND, DECISION_BURST, clock)
+        self.runs = ByteBudget(RUN_BYTES_PER_SECOND, RUN_BURST, clock)
         self._unsent = bytearray()
-        """What the descriptor has not taken yet; it begins with the rest of a line."""
+        """Bytes not written yet; may begin in the middle of a line."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or count it as dropped."""
+        """Write the record as a line, or count it as dropped."""
         budget = self.runs if record.name == RUN_LOGGER else self.decisions
         self.flush()
-        if not budget.open() or not self._has_space(budget):
-            budget.drop()
+        if not budget.has_bytes_left() or not self._may_queue(budget):
+            budget.count_dropped()
             return
-        line = self._line(record)
-        budget.take(len(line))
+        line = self._encode_line(record)
+        budget.consume(len(line))
         self._unsent += line
         self.flush()
 
-    def _has_space(self, budget: Budget) -> bool:
-        """Tell whether a line may wait for a reader: one of a run does not."""
-        return len(self._unsent) < UNSENT_BYTES if budget is self.decisions else not self._unsent
+    def _may_queue(self, budget: ByteBudget) -> bool:
+        """Return whether a line may be buffered; run lines never wait behind unsent bytes."""
+        return (
+            len(self._unsent) < MAX_UNSENT_BYTES if budget is self.decisions else not self._unsent
+        )
 
-    def _line(self, record: logging.LogRecord) -> bytes:
+    def _encode_line(self, record: logging.LogRecord) -> bytes:
         line = self.format(record)
-        for name, budget in (("dropped_decisions", self.decisions), ("dropped_runs", self.runs)):
-            if budget.untold:
-                line = f'{line[:-1]},"{name}":{budget.untold}}}'
-                budget.untold = 0
+        for field, budget in (("dropped_decisions", self.decisions), ("dropped_runs", self.runs)):
+            if budget.unreported:
+                line = f'{line[:-1]},"{field}":{budget.unreported}}}'
+                budget.unreported = 0
         return f"{line}\n".encode()
 
     def flush(self) -> None:
-        """Hand on what the descriptor takes at once."""
+        """Write as many buffered bytes as the descriptor accepts without blocking."""
         while self._unsent:
             try:
                 written = os.write(self._descriptor, self._unsent)
             except OSError:
-                # Nobody reads now; what waits goes with the next line, or is counted as dropped.
+                # The reader does not keep up. The buffer is written with the next line; lines that
+                # no longer fit are dropped and counted.
                 return
             del self._unsent[:written]
 
