--- a/src/sablemount/cli/app.py
+++ b/src/sablemount/cli/app.py
@@ -298,10 +298,10 @@
     else:
         rows = [msgspec.to_builtins(row) for row in collected.rows]
         show_rows(rows, burn.COLUMNS, False)
-        for line in burn.gaps(collected):
+        for line in burn.missing_part_lines(collected):
             typer.echo(line, err=True)
     if not collected.answered:
-        raise typer.Exit(burn.EXIT_NONE)
+        raise typer.Exit(burn.EXIT_NO_ANSWER)
 
 
 def main() -> None:
--- a/src/sablemount/cli/burn.py
+++ b/src/sablemount/cli/burn.py
@@ -1,13 +1,13 @@
-"""Collecting and showing the burn report."""
+"""Collection and output of the burn report."""
 
 import msgspec
 from result import Err
 from tornado import template
 
 from sablemount.cli.client import Client
-from sablemount.report import BurnPart, BurnRow, combine
+from sablemount.report import BurnPart, BurnRow, merge_parts
 
-__all__ = ["COLUMNS", "EXIT_NONE", "Collected", "collect", "gaps", "page"]
+__all__ = ["COLUMNS", "EXIT_NO_ANSWER", "CollectedReport", "collect", "missing_part_lines", "page"]
 
 COLUMNS = [
     "organisation",
@@ -20,8 +20,8 @@
     "burn_long",
     "failures",
 ]
-EXIT_NONE = 4
-TIMEOUT = 5.0
+EXIT_NO_ANSWER = 4
+TIMEOUT_S = 5.0
 
 _PAGE = template.Template(
     """<!doctype html>
@@ -52,8 +52,12 @@
 )
 
 
-class Collected(msgspec.Struct, frozen=True):
-    """The report, who answered, and who did not."""
+class CollectedReport(msgspec.Struct, frozen=True):
+    """The merged report and the schedulers that it covers.
+
+    ``unreachable`` holds the addresses that did not answer, ``missing`` the names of members of the
+    cell whose part is not in the report.
+    """
 
     rows: list[BurnRow]
     answered: list[str]
@@ -61,12 +65,12 @@
     missing: list[str]
 
 
-def collect(addresses: list[str]) -> Collected:
-    """Ask each scheduler for its part."""
+def collect(addresses: list[str]) -> CollectedReport:
+    """Fetch the part of each scheduler and merge the parts."""
     parts: list[BurnPart] = []
     unreachable = []
     for address in addresses:
-        answer = Client(address, TIMEOUT).call("GET", "/v1/burn")
+        answer = Client(address, TIMEOUT_S).call("GET", "/v1/burn")
         if isinstance(answer, Err):
             unreachable.append(address)
         else:
@@ -74,16 +78,16 @@
     members = {name for part in parts for name in part.members}
     answered = sorted(part.scheduler for part in parts)
     missing = sorted(members - set(answered))
-    return Collected(combine(parts), answered, unreachable, missing)
+    return CollectedReport(merge_parts(parts), answered, unreachable, missing)
 
 
-def gaps(report: Collected) -> list[str]:
-    """Return a line for each part that the report lacks."""
+def missing_part_lines(report: CollectedReport) -> list[str]:
+    """Return a line for each scheduler whose part is not in the report."""
     lines = [f"{address} did not answer" for address in report.unreachable]
     lines += [f"member {name} is not in this report" for name in report.missing]
     return lines
 
 
-def page(report: Collected) -> str:
+def page(report: CollectedReport) -> str:
     """Return the report as an HTML page."""
-    return _PAGE.generate(report=report, gaps=gaps(report)).decode()
+    return _PAGE.generate(report=report, gaps=missing_part_lines(report)).decode()
--- a/src/sablemount/daemon.py
+++ b/src/sablemount/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon ``sablemountd``: one scheduler process, without children."""
+"""The daemon ``sablemountd``: one scheduler process, which starts no child processes."""
 
 import asyncio
 import json
@@ -21,58 +21,63 @@
 EXIT_OK = 0
 EXIT_SETTINGS = 2
 EXIT_INTERNAL = 70
-EXIT_CUT_SHORT = 75
+EXIT_INTERRUPTED = 75
 
 _logger = logging.getLogger("sablemount.daemon")
 
 
 async def serve(settings: Settings) -> int:
-    """Run a scheduler until it is stopped and return the exit code."""
+    """Run a scheduler until it stops and return the process exit code."""
     runtime = Runtime(settings)
     server = make_server(runtime)
     host, _, port = settings.listen.rpartition(":")
     server.listen(int(port), host.strip("[]"))
     await runtime.start()
-    stopper = _Stopper(runtime)
+    signal_handler = _SignalHandler(runtime)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopper.signalled)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, signal_handler.on_signal)
     await runtime.stopped.wait()
-    stopper.cancel()
+    signal_handler.cancel_timer()
     server.end()
     await runtime.close()
     await server.close_all_connections()
     if runtime.failed:
         return EXIT_INTERNAL
-    return EXIT_CUT_SHORT if stopper.cut_short else EXIT_OK
+    return EXIT_INTERRUPTED if signal_handler.interrupted else EXIT_OK
 
 
-class _Stopper:
-    """Begins the planned stop at the first signal and ends it at the second or the deadline."""
+class _SignalHandler:
+    """Begins the planned stop at the first signal.
+
+    A second signal, or the limit ``stop_seconds``, ends the process with work still in flight.
+    """
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
-        self._deadline: asyncio.TimerHandle | None = None
-        self.cut_short = False
+        self._stop_timer: asyncio.TimerHandle | None = None
+        self.interrupted = False
 
-    def signalled(self) -> None:
-        """Take a signal."""
-        if self._deadline is not None:
-            self._end()
+    def on_signal(self) -> None:
+        """Handle SIGTERM or SIGINT."""
+        if self._stop_timer is not None:
+            self._interrupt()
             return
         loop = asyncio.get_running_loop()
-        self._deadline = loop.call_later(self._runtime.settings.limits.stop_seconds, self._end)
+        self._stop_timer = loop.call_later(
+            self._runtime.settings.limits.stop_seconds, self._interrupt
+        )
         self._runtime.stop()
 
-    def _end(self) -> None:
-        self.cut_short = True
+    def _interrupt(self) -> None:
+        self.interrupted = True
         _logger.warning("stopping with work in flight")
         self._runtime.stopped.set()
 
-    def cancel(self) -> None:
-        """Forget the deadline."""
-        if self._deadline is not None:
-            self._deadline.cancel()
+    def cancel_timer(self) -> None:
+        """Cancel the timer of the planned stop, if it runs."""
+        if self._stop_timer is not None:
+            self._stop_timer.cancel()
 
 
 def _run(
@@ -99,7 +104,7 @@
 
 
 def main() -> None:
-    """Run the daemon's command line."""
+    """Run the command line of the daemon."""
     typer.run(_run)
 
 
--- a/src/sablemount/entry/application.py
+++ b/src/sablemount/entry/application.py
@@ -12,7 +12,7 @@
 from sablemount.entry.answers import VERDICT_HEADER, failure_body, status_of
 from sablemount.entry.handler import Handler, Refused
 from sablemount.entry.requests import EntryDelegate
-from sablemount.report import burn_of
+from sablemount.report import burn_part
 from sablemount.runtime import Runtime
 
 __all__ = ["make_server"]
@@ -213,7 +213,7 @@
     def get(self) -> None:
         """Return the counts behind the burn report."""
         runtime = self.runtime
-        self.reply(burn_of(runtime.scheduler.state, runtime.meter.counters, runtime.burn_history))
+        self.reply(burn_part(runtime.scheduler.state, runtime.meter.counters, runtime.burn_history))
 
 
 class HealthHandler(Handler):
--- a/src/sablemount/peer/link.py
+++ b/src/sablemount/peer/link.py
@@ -1,4 +1,4 @@
-"""Links between schedulers over gRPC: messages that are sent once, and forwarded requests."""
+"""gRPC links between schedulers: control messages and forwarded requests, each sent once."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,28 +15,28 @@
 
 __all__ = ["PeerLinks", "PeerServer"]
 
-SEND_TIMEOUT = 2.0
-"""How long a message may take, in seconds."""
-MESSAGE_LIMIT = 256 * 1024 * 1024
-NO_RETRY = -1.0
-OPTIONS = (
-    # Nothing below the verdicts may repeat a call.
+SEND_TIMEOUT_S = 2.0
+MAX_MESSAGE_BYTES = 256 * 1024 * 1024
+NO_RETRY_AFTER = -1.0
+"""Sent in place of a missing ``retry_after``."""
+CHANNEL_OPTIONS = (
+    # gRPC must not repeat a call: only the layer that assigns verdicts may decide on a retry.
     ("grpc.enable_retries", 0),
     ("grpc.enable_http_proxy", 0),
-    ("grpc.max_receive_message_length", MESSAGE_LIMIT),
-    ("grpc.max_send_message_length", MESSAGE_LIMIT),
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
+    ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 1000),
 )
 
 
 class PeerLinks:
-    """Channels to the other schedulers."""
+    """Client channels to the other schedulers."""
 
     def __init__(self, addresses: dict[str, str], meter: Meter) -> None:
         self._meter = meter
         self._channels = {
-            name: grpc.aio.insecure_channel(address, options=OPTIONS)
+            name: grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
             for name, address in addresses.items()
         }
         self._stubs = {
@@ -44,39 +44,39 @@
         }
 
     async def send(self, action: SendPeer) -> None:
-        """Send a message once; a lost one is not an error."""
+        """Send a message once; a failure is counted, not raised."""
         stub = self._stubs.get(action.peer)
         if stub is None:
             return
         payload = encode_message(action.message)
         self._meter.count("control_bytes", type(action.message).__name__.lower(), len(payload))
         try:
-            await stub.Send(peer_pb2.Envelope(payload=payload), timeout=SEND_TIMEOUT)
+            await stub.Send(peer_pb2.Envelope(payload=payload), timeout=SEND_TIMEOUT_S)
         except grpc.aio.AioRpcError:
             self._meter.count("messages_lost", action.peer)
 
     async def forward(self, action: Forward) -> RequestEnded:
-        """Forward a request once."""
+        """Forward a request once and return its outcome."""
         arrival = action.arrival
-        remaining = arrival.deadline - monotonic()
+        remaining_s = arrival.deadline - monotonic()
         request = peer_pb2.ForwardRequest(
             request=arrival.request,
             template=arrival.template,
             body=arrival.body,
             key=arrival.key,
-            remaining=remaining,
+            remaining=remaining_s,
         )
         stub = self._stubs.get(action.peer)
         if stub is None:
             failure = Failure(Verdict.NOT_RUN, Reason.PEER_LOST, f"{action.peer} is unknown")
             return RequestEnded(arrival.request, "", failure, True)
         try:
-            reply = await stub.Forward(request, timeout=max(0.0, remaining))
+            reply = await stub.Forward(request, timeout=max(0.0, remaining_s))
         except grpc.aio.AioRpcError as error:
-            # The peer may have sent it on before the call broke.
+            # The peer may have passed the request to a worker before the call failed.
             failure = Failure(Verdict.MAY_HAVE_RUN, Reason.PEER_LOST, error.code().name)
             return RequestEnded(arrival.request, "", failure, True)
-        return _ended(arrival.request, reply)
+        return _request_ended(arrival.request, reply)
 
     async def close(self) -> None:
         """Close the channels."""
@@ -84,7 +84,7 @@
             await channel.close()
 
 
-def _ended(request: str, reply: peer_pb2.ForwardReply) -> RequestEnded:
+def _request_ended(request: str, reply: peer_pb2.ForwardReply) -> RequestEnded:
     if reply.verdict == Verdict.DONE.value:
         served = Served(reply.body, reply.upstream, reply.status)
         return RequestEnded(request, "", None, True, 0.0, served)
@@ -94,35 +94,35 @@
 
 
 class PeerServer(peer_pb2_grpc.PeerServicer):
-    """Takes messages and forwarded requests from the other schedulers."""
+    """Receives messages and forwarded requests from the other schedulers."""
 
     def __init__(
         self,
-        deliver: Callable[[PeerMessage], None],
+        on_message: Callable[[PeerMessage], None],
         serve: Callable[[RequestArrived], Awaitable[ServeResult]],
     ) -> None:
-        self._deliver = deliver
-        self._serve = serve
-        self._server = grpc.aio.server(options=OPTIONS)
+        self._on_message = on_message
+        self._serve_request = serve
+        self._server = grpc.aio.server(options=CHANNEL_OPTIONS)
         peer_pb2_grpc.add_PeerServicer_to_server(self, self._server)
 
     async def start(self, address: str) -> int:
-        """Listen on an address and return the port."""
+        """Listen on an address and return the port number."""
         port = self._server.add_insecure_port(address)
         await self._server.start()
         return port
 
-    async def stop(self, grace: float) -> None:
-        """Stop after the calls in flight, for ``grace`` seconds at most."""
-        await self._server.stop(grace)
+    async def stop(self, grace_s: float) -> None:
+        """Stop, waiting up to ``grace_s`` seconds for the calls in flight."""
+        await self._server.stop(grace_s)
 
     async def Send(self, request, context):  # type: ignore[no-untyped-def]  # noqa: N802, ANN001
-        """Take a message."""
-        self._deliver(decode_message(request.payload))
+        """Handle a control message."""
+        self._on_message(decode_message(request.payload))
         return peer_pb2.Ack()
 
     async def Forward(self, request, context):  # type: ignore[no-untyped-def]  # noqa: N802, ANN001
-        """Serve a forwarded request."""
+        """Serve a forwarded request and return its result."""
         arrival = RequestArrived(
             request.request,
             request.template,
@@ -131,10 +131,10 @@
             request.key,
             True,
         )
-        return _reply(await self._serve(arrival))
+        return _forward_reply(await self._serve_request(arrival))
 
 
-def _reply(result: ServeResult) -> peer_pb2.ForwardReply:
+def _forward_reply(result: ServeResult) -> peer_pb2.ForwardReply:
     if isinstance(result, Ok):
         served = result.ok_value
         return peer_pb2.ForwardReply(
@@ -149,5 +149,5 @@
         verdict=failure.verdict.value,
         reason=failure.reason.value,
         detail=failure.detail,
-        retry_after=NO_RETRY if failure.retry_after is None else failure.retry_after,
+        retry_after=NO_RETRY_AFTER if failure.retry_after is None else failure.retry_after,
     )
--- a/src/sablemount/report.py
+++ b/src/sablemount/report.py
@@ -1,7 +1,7 @@
-"""Service-level burn: how fast each template uses up its error budget.
+"""Burn rates of service-level objectives: how fast each template uses up its error budget.
 
-Every scheduler keeps counts of starts within and beyond the objective, and of failures by class,
-in one-minute steps. The report adds up what the schedulers return and names the missing ones.
+Every scheduler keeps a history, in steps of one minute, of the starts within and beyond the
+objective and of the failures by class. The report adds up the counts of all schedulers that answer.
 """
 
 from collections import Counter, deque
@@ -14,18 +14,18 @@
 from sablemount.core.state import State
 from sablemount.core.verdict import Reason
 
-__all__ = ["BurnCounts", "BurnHistory", "BurnPart", "BurnRow", "burn_of", "combine"]
+__all__ = ["BurnCounts", "BurnHistory", "BurnPart", "BurnRow", "burn_part", "merge_parts"]
 
-STEP = 60.0
-"""Length of one step of the history, in seconds."""
-SHORT_WINDOW = 5
+STEP_S = 60.0
+"""Length of one step of the history."""
+SHORT_WINDOW_STEPS = 5
 """Steps in the short window: five minutes."""
-LONG_WINDOW = 60
+LONG_WINDOW_STEPS = 60
 """Steps in the long window: one hour."""
-CALLERS_FAULT = frozenset(
+CALLER_ERRORS = frozenset(
     {Reason.BAD_REQUEST, Reason.UNKNOWN_TEMPLATE, Reason.KEY_SPENT, Reason.KEY_EXPIRED}
 )
-"""Failures that count against no objective."""
+"""Failures that the caller caused; they do not count against an objective."""
 
 
 class BurnCounts(msgspec.Struct, frozen=True):
@@ -37,12 +37,12 @@
 
     @property
     def total(self) -> int:
-        """Return how many requests and tasks count for the objective."""
+        """Return the number of requests and tasks that the objective covers."""
         return self.starts + sum(self.failures.values())
 
     @property
-    def bad(self) -> int:
-        """Return how many of them missed it."""
+    def missed(self) -> int:
+        """Return the number of requests and tasks that missed the objective."""
         return self.total - self.within
 
     def plus(self, other: "BurnCounts") -> "BurnCounts":
@@ -63,7 +63,7 @@
 
 
 class BurnRow(msgspec.Struct, frozen=True):
-    """One line of the report; a burn rate of 1 uses the budget up exactly over the period."""
+    """One line of the report; a burn rate of 1 uses up the error budget exactly."""
 
     organisation: str
     template: str
@@ -77,51 +77,53 @@
 
 
 class BurnHistory:
-    """Remembers the counters at each step, so that a window is a difference."""
+    """Keeps the counters at each step; the counts over a window are a difference of two steps."""
 
     def __init__(self) -> None:
-        self._steps: deque[tuple[float, Counter[tuple[str, str]]]] = deque(maxlen=LONG_WINDOW + 1)
+        self._steps: deque[tuple[float, Counter[tuple[str, str]]]] = deque(
+            maxlen=LONG_WINDOW_STEPS + 1
+        )
 
-    def note(self, now: float, counters: Counter[tuple[str, str]]) -> None:
-        """Keep a copy of the counters if a step has passed."""
-        if self._steps and now - self._steps[-1][0] < STEP:
+    def record_step(self, now: float, counters: Counter[tuple[str, str]]) -> None:
+        """Store a copy of the counters if the length of a step has passed since the last copy."""
+        if self._steps and now - self._steps[-1][0] < STEP_S:
             return
-        kept = {key: value for key, value in counters.items() if key[0] in WATCHED}
-        self._steps.append((now, Counter(kept)))
+        selected = {key: value for key, value in counters.items() if key[0] in OBJECTIVE_COUNTERS}
+        self._steps.append((now, Counter(selected)))
 
-    def window(self, steps: int, counters: Counter[tuple[str, str]]) -> dict[str, BurnCounts]:
-        """Return the counts since ``steps`` steps ago, or since the start if that is later."""
+    def counts_over(self, steps: int, counters: Counter[tuple[str, str]]) -> dict[str, BurnCounts]:
+        """Return the counts of the last ``steps`` steps, or since the start if that is shorter."""
         before = self._steps[-steps][1] if len(self._steps) >= steps else Counter()
-        return _counts(counters, before)
+        return _counts_since(counters, before)
 
 
-WATCHED = frozenset({"starts", "starts_within_objective", "failures"})
+OBJECTIVE_COUNTERS = frozenset({"starts", "starts_within_objective", "failures"})
 
 
-def _counts(
+def _counts_since(
     counters: Counter[tuple[str, str]], before: Counter[tuple[str, str]]
 ) -> dict[str, BurnCounts]:
-    found: dict[str, BurnCounts] = {}
+    by_template: dict[str, BurnCounts] = {}
     for (name, label), value in counters.items():
-        change = value - before[name, label]
-        if name not in WATCHED or not change:
+        increase = value - before[name, label]
+        if name not in OBJECTIVE_COUNTERS or not increase:
             continue
         template, _, reason = label.partition(":")
         if name == "starts":
-            more = BurnCounts(starts=change)
+            added = BurnCounts(starts=increase)
         elif name == "starts_within_objective":
-            more = BurnCounts(within=change)
-        elif reason in CALLERS_FAULT:
+            added = BurnCounts(within=increase)
+        elif reason in CALLER_ERRORS:
             continue
         else:
-            more = BurnCounts(failures={reason: change})
-        found[template] = found.get(template, BurnCounts()).plus(more)
-    return found
+            added = BurnCounts(failures={reason: increase})
+        by_template[template] = by_template.get(template, BurnCounts()).plus(added)
+    return by_template
 
 
-def burn_of(state: State, counters: Counter[tuple[str, str]], history: BurnHistory) -> BurnPart:
+def burn_part(state: State, counters: Counter[tuple[str, str]], history: BurnHistory) -> BurnPart:
     """Return this scheduler's part of the report."""
-    history.note(monotonic(), counters)
+    history.record_step(monotonic(), counters)
     objectives = {
         key: row.document.objective
         for key, row in state.ledger.documents.items()
@@ -129,15 +131,15 @@
     }
     return BurnPart(
         state.writer.name,
-        history.window(SHORT_WINDOW, counters),
-        history.window(LONG_WINDOW, counters),
+        history.counts_over(SHORT_WINDOW_STEPS, counters),
+        history.counts_over(LONG_WINDOW_STEPS, counters),
         objectives,
         sorted(state.ledger.members),
     )
 
 
-def combine(parts: Iterable[BurnPart]) -> list[BurnRow]:
-    """Return the report over all schedulers, the fastest burning first."""
+def merge_parts(parts: Iterable[BurnPart]) -> list[BurnRow]:
+    """Return the report over all schedulers, highest short-window burn rate first."""
     short: dict[str, BurnCounts] = {}
     long: dict[str, BurnCounts] = {}
     objectives: dict[str, Objective] = {}
@@ -148,29 +150,29 @@
         for key, counts in part.long.items():
             long[key] = long.get(key, BurnCounts()).plus(counts)
     rows = [
-        _row(key, objective, short.get(key, BurnCounts()), long.get(key, BurnCounts()))
+        _report_row(key, objective, short.get(key, BurnCounts()), long.get(key, BurnCounts()))
         for key, objective in objectives.items()
     ]
     return sorted(rows, key=lambda row: (-row.burn_short, row.organisation, row.template))
 
 
-def _row(key: str, objective: Objective, short: BurnCounts, long: BurnCounts) -> BurnRow:
+def _report_row(key: str, objective: Objective, short: BurnCounts, long: BurnCounts) -> BurnRow:
     organisation, _, template = key.partition("/")
-    allowed = 1.0 - objective.target
+    error_budget = 1.0 - objective.target
     return BurnRow(
         organisation,
         template,
         objective.target,
         objective.within,
         long.total,
-        1.0 - _rate(long, allowed),
-        _rate(short, allowed),
-        _rate(long, allowed),
+        1.0 - _burn_rate(long, error_budget),
+        _burn_rate(short, error_budget),
+        _burn_rate(long, error_budget),
         long.failures,
     )
 
 
-def _rate(counts: BurnCounts, allowed: float) -> float:
+def _burn_rate(counts: BurnCounts, error_budget: float) -> float:
     if not counts.total:
         return 0.0
-    return counts.bad / counts.total / allowed
+    return counts.missed / counts.total / error_budget
--- a/src/sablemount/runtime.py
+++ b/src/sablemount/runtime.py
@@ -128,7 +128,7 @@
     async def _run_ticks(self) -> None:
         while True:
             self.dispatch(events.Tick())
-            self.burn_history.note(monotonic(), self.meter.counters)
+            self.burn_history.record_step(monotonic(), self.meter.counters)
             await asyncio.sleep(self.settings.core.tick)
 
     async def _poll_vm_list(self) -> None:
