--- a/src/sablemount/entry/answers.py
+++ b/src/sablemount/entry/answers.py
@@ -1,4 +1,4 @@
-"""How verdicts and failures look in HTTP."""
+"""HTTP representation of verdicts and failures."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
     "VERDICT_HEADER",
     "FailureBody",
     "failure_body",
-    "status_of",
+    "http_status",
 ]
 
 VERDICT_HEADER = "Sablemount-Verdict"
@@ -19,7 +19,7 @@
 REQUEST_HEADER = "X-Request-Id"
 RETRY_HEADER = "Retry-After"
 
-_STATUS = {
+_STATUS_BY_REASON = {
     Reason.BAD_REQUEST: 400,
     Reason.UNKNOWN_TEMPLATE: 404,
     Reason.CONFLICT: 409,
@@ -38,7 +38,7 @@
 
 
 class FailureBody(msgspec.Struct, frozen=True):
-    """The JSON body of every answer that is not a success."""
+    """The JSON body of every response that reports a failure."""
 
     verdict: Verdict
     reason: Reason
@@ -46,9 +46,9 @@
     request: str
 
 
-def status_of(failure: Failure) -> int:
+def http_status(failure: Failure) -> int:
     """Return the HTTP status of a failure."""
-    return _STATUS.get(failure.reason, UNAVAILABLE)
+    return _STATUS_BY_REASON.get(failure.reason, UNAVAILABLE)
 
 
 def failure_body(failure: Failure, request: str) -> bytes:
--- a/src/sablemount/entry/application.py
+++ b/src/sablemount/entry/application.py
@@ -1,4 +1,7 @@
-"""The HTTP interface beside the request path: jobs, documents, views, health and metrics."""
+"""The HTTP application for everything but the request path.
+
+It covers jobs, tasks, documents, VMs, shards, members, the burn report, health and metrics.
+"""
 
 import msgspec
 from result import Err, Ok
@@ -9,8 +12,8 @@
 from sablemount.core.documents import Document, Name, Scalar, document_key
 from sablemount.core.verdict import Failure, Reason, Verdict
 from sablemount.entry import views
-from sablemount.entry.answers import VERDICT_HEADER, failure_body, status_of
-from sablemount.entry.handler import Handler, Refused
+from sablemount.entry.answers import VERDICT_HEADER, failure_body, http_status
+from sablemount.entry.handler import Handler, RequestRejected
 from sablemount.entry.requests import EntryDelegate
 from sablemount.report import burn_part
 from sablemount.runtime import Runtime
@@ -23,7 +26,7 @@
 
 
 class JobBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of a submission."""
+    """Body of a job submission."""
 
     template: str
     job: Name | None = None
@@ -33,7 +36,7 @@
 
 
 class JobView(msgspec.Struct, frozen=True):
-    """Answer to a submission."""
+    """Response to an accepted job submission."""
 
     job: str
     count: int
@@ -48,13 +51,13 @@
 
 
 class DrainBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of a drain."""
+    """Body of a request to drain a VM, or to end its drain."""
 
     drain: bool = True
 
 
 class ConflictBody(msgspec.Struct, frozen=True):
-    """Answer to the operator who came second: the other's change."""
+    """Response to a publication that expected another revision than ``current``."""
 
     verdict: Verdict
     reason: Reason
@@ -67,7 +70,7 @@
     """Submits jobs."""
 
     async def post(self) -> None:
-        """Accept a job; it is accepted only when it is in the log."""
+        """Submit a job; the response is sent once the job is recorded in the log."""
         body = self.decode(JobBody)
         job = body.job or self.runtime.new_id()
         token = self.runtime.new_id()
@@ -87,15 +90,15 @@
 
 
 class TasksHandler(Handler):
-    """Lists the tasks of a job."""
+    """Lists tasks."""
 
     def get(self) -> None:
-        """Return the tasks of a job, or the open ones."""
+        """Return the tasks of the given job, or else all unfinished tasks."""
         job = self.get_query_argument("job", "")
         scheduler = self.runtime.scheduler
         rows = scheduler.state.ledger.tasks.values()
-        chosen = [row for row in rows if (row.job == job if job else not row.finished)]
-        self.reply([views.task_view(scheduler, row) for row in chosen])
+        selected = [row for row in rows if (row.job == job if job else not row.finished)]
+        self.reply([views.task_view(scheduler, row) for row in selected])
 
 
 class TaskHandler(Handler):
@@ -124,48 +127,52 @@
     """Lists documents."""
 
     def get(self) -> None:
-        """Return all documents in force."""
-        self.reply(views.documents_of(self.runtime.scheduler))
+        """Return the current revision of all documents."""
+        self.reply(views.document_views(self.runtime.scheduler))
 
 
 class DocumentHandler(Handler):
     """Shows and publishes one document."""
 
     def get(self, key: str) -> None:
-        """Return one document."""
-        view = self._current(key)
+        """Return the current revision of one document."""
+        view = self._current_view(key)
         if view is None:
             raise web.HTTPError(NOT_FOUND, reason="no such document")
         self.reply(view)
 
-    def _current(self, key: str) -> views.DocumentView | None:
+    def _current_view(self, key: str) -> views.DocumentView | None:
         row = self.runtime.scheduler.state.ledger.documents.get(key)
         return views.document_view(key, row) if row else None
 
     async def put(self, key: str) -> None:
-        """Publish a document against the revision that it replaces."""
+        """Publish a document if the revision that it replaces is current."""
         body = self.decode(PublishBody)
         if document_key(body.document) != key:
             detail = f"$.document: is {document_key(body.document)!r}, the path says {key!r}"
-            raise Refused(Failure(Verdict.NOT_RUN, Reason.BAD_REQUEST, detail))
+            raise RequestRejected(Failure(Verdict.NOT_RUN, Reason.BAD_REQUEST, detail))
         token = self.runtime.new_id()
         event = events.PublishRequested(
             token, body.document, body.expected, body.author, self.deadline(None)
         )
         result = await self.runtime.command(event, token)
         if isinstance(result, Ok):
-            self.reply(self._current(key))
+            self.reply(self._current_view(key))
         elif result.err_value.reason is Reason.CONFLICT:
-            self._conflict(key, result.err_value)
+            self._reply_conflict(key, result.err_value)
         else:
             self.fail(result.err_value)
 
-    def _conflict(self, key: str, failure: Failure) -> None:
+    def _reply_conflict(self, key: str, failure: Failure) -> None:
         self.set_header(VERDICT_HEADER, failure.verdict.value)
         body = ConflictBody(
-            failure.verdict, failure.reason, failure.detail, self.shown_id, self._current(key)
+            failure.verdict,
+            failure.reason,
+            failure.detail,
+            self.request_id,
+            self._current_view(key),
         )
-        self.reply(body, status_of(failure))
+        self.reply(body, http_status(failure))
 
 
 class VmsHandler(Handler):
@@ -173,14 +180,14 @@
 
     def get(self) -> None:
         """Return all VMs."""
-        self.reply(views.vms_of(self.runtime.scheduler))
+        self.reply(views.vm_views(self.runtime.scheduler))
 
 
 class DrainHandler(Handler):
-    """Drains a VM."""
+    """Drains a VM or ends its drain."""
 
     async def post(self, vm: str) -> None:
-        """Give a VM no new work, or take it back."""
+        """Stop or resume placing new work on a VM."""
         body = self.decode(DrainBody)
         token = self.runtime.new_id()
         event = events.DrainRequested(token, vm, body.drain, self.deadline(None))
@@ -196,7 +203,7 @@
 
     def get(self) -> None:
         """Return all shards."""
-        self.reply(views.shards_of(self.runtime.scheduler))
+        self.reply(views.shard_views(self.runtime.scheduler))
 
 
 class MembersHandler(Handler):
@@ -204,62 +211,62 @@
 
     def get(self) -> None:
         """Return all members."""
-        self.reply(views.members_of(self.runtime.scheduler))
+        self.reply(views.member_views(self.runtime.scheduler))
 
 
 class BurnHandler(Handler):
-    """Reports this scheduler's part of the service levels."""
+    """Reports this scheduler's part of the burn report."""
 
     def get(self) -> None:
-        """Return the counts behind the burn report."""
+        """Return the counts from which the burn report is computed."""
         runtime = self.runtime
         self.reply(burn_part(runtime.scheduler.state, runtime.meter.counters, runtime.burn_history))
 
 
 class HealthHandler(Handler):
-    """Tells that the process runs."""
+    """Liveness probe."""
 
     def get(self) -> None:
-        """Answer."""
+        """Return 200 as long as the process runs."""
         self.reply({"status": "ok"})
 
 
 class ReadyHandler(Handler):
-    """Tells whether the balancer may send callers here."""
+    """Readiness probe for the load balancer."""
 
     def get(self) -> None:
-        """Answer 200 when ready and 503 when not."""
+        """Return 200 if this scheduler may receive callers' requests, else 503."""
         state = self.runtime.scheduler.state
         ready = state.ready and not state.stopping
         self.reply({"ready": ready, "offset": state.ledger.offset}, 200 if ready else UNAVAILABLE)
 
 
 class MetricsHandler(Handler):
-    """Publishes the metrics."""
+    """Serves the metrics."""
 
     def get(self) -> None:
-        """Return the metrics."""
-        accepts = self.request.headers.get_list("Accept")
-        body, headers = self.runtime.meter.publish(self.runtime.scheduler, accepts)
+        """Return the metrics in a format that the client accepts."""
+        accepted_types = self.request.headers.get_list("Accept")
+        body, headers = self.runtime.meter.render_metrics(self.runtime.scheduler, accepted_types)
         for name, value in headers.items():
             self.set_header(name, value)
         self.finish(body)
 
 
 class UnknownHandler(Handler):
-    """Answers paths that do not exist."""
+    """Handles paths that match no route."""
 
     def prepare(self) -> None:
-        """Refuse."""
+        """Raise 404."""
         raise web.HTTPError(NOT_FOUND, reason="no such path")
 
 
-STOPPED = Failure(Verdict.NOT_RUN, Reason.STOPPING, "the scheduler has stopped")
-"""What a call meets that comes as the scheduler ends."""
+SCHEDULER_STOPPED = Failure(Verdict.NOT_RUN, Reason.STOPPING, "the scheduler has stopped")
+"""Final response on each connection when the HTTP server shuts down."""
 
 
 def make_server(runtime: Runtime) -> EndingServer:
-    """Return the HTTP server of a scheduler, not yet listening."""
+    """Return the HTTP server of a scheduler; it is not listening yet."""
     shared = {"runtime": runtime}
     routes = [
         (r"/v1/jobs", JobsHandler),
@@ -286,5 +293,7 @@
     return EndingServer(
         delegate,  # type: ignore[arg-type]
         max_body_size=runtime.settings.limits.max_body_bytes,
-        final=final_answer(failure_body(STOPPED, ""), {VERDICT_HEADER: STOPPED.verdict.value}),
+        final=final_answer(
+            failure_body(SCHEDULER_STOPPED, ""), {VERDICT_HEADER: SCHEDULER_STOPPED.verdict.value}
+        ),
     )
--- a/src/sablemount/entry/requests.py
+++ b/src/sablemount/entry/requests.py
@@ -1,8 +1,7 @@
-"""The callers' request path, straight on tornado's connection delegates.
+"""The request path for callers, implemented directly on tornado's connection delegates.
 
-A request needs no routing table, no templates and no cookies, so it does not pay for them:
-``POST /v1/requests/<organisation>/<template>`` is taken here, everything else goes on to the
-application.
+``POST /v1/requests/<organisation>/<template>`` is handled here, without the cost of tornado's
+routing, templates and cookies, which it does not need. All other paths go to the application.
 """
 
 import math
@@ -19,21 +18,21 @@
     UPSTREAM_HEADER,
     VERDICT_HEADER,
     failure_body,
-    status_of,
+    http_status,
 )
 from sablemount.runtime import Runtime
 
 __all__ = ["EntryDelegate"]
 
-PREFIX = "/v1/requests/"
+PATH_PREFIX = "/v1/requests/"
 DEADLINE_HEADER = "Deadline-Ms"
 KEY_HEADER = "Idempotency-Key"
-MAX_ID = 128
-REASONS = {200: "OK"}
+MAX_REQUEST_ID_CHARS = 128
+REASON_PHRASES = {200: "OK"}
 
 
 class EntryDelegate(httputil.HTTPServerConnectionDelegate):
-    """Sends each message to the request path or to the application."""
+    """Creates the delegate that handles each HTTP request of a connection."""
 
     def __init__(self, runtime: Runtime, application: web.Application) -> None:
         self._runtime = runtime
@@ -42,15 +41,19 @@
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
-        """Return the delegate for one message."""
-        return _Message(self._runtime, self._application, server_conn, request_conn)
+        """Return the delegate for one HTTP request."""
+        return _RequestDelegate(self._runtime, self._application, server_conn, request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """Do nothing: each message notices the close itself."""
+        """Do nothing: each request delegate is notified of the close itself."""
 
 
-class _Message(httputil.HTTPMessageDelegate):
-    """One message; it is answered here or by the application."""
+class _RequestDelegate(httputil.HTTPMessageDelegate):
+    """Handles one HTTP request, or passes it on to the application.
+
+    ``_internal_id`` identifies the request in the cell. ``_request_id`` is returned to the caller:
+    the id that the caller sent, truncated, or else the internal id.
+    """
 
     def __init__(
         self,
@@ -63,67 +66,71 @@
         self._application = application
         self._server_conn = server_conn
         self._connection = connection
-        self._other: httputil.HTTPMessageDelegate | None = None
+        self._application_delegate: httputil.HTTPMessageDelegate | None = None
         self._chunks: list[bytes] = []
         self._headers = httputil.HTTPHeaders()
         self._path = ""
         self._method = ""
-        self._id = ""
-        self._shown_id = ""
+        self._internal_id = ""
+        self._request_id = ""
 
     def headers_received(
         self,
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Take the first line and the headers."""
+        """Store the request line and headers, or pass them to the application."""
         assert isinstance(start_line, httputil.RequestStartLine)
-        if not start_line.path.startswith(PREFIX):
-            self._other = self._application.start_request(self._server_conn, self._connection)
-            self._other.headers_received(start_line, headers)
+        if not start_line.path.startswith(PATH_PREFIX):
+            self._application_delegate = self._application.start_request(
+                self._server_conn, self._connection
+            )
+            self._application_delegate.headers_received(start_line, headers)
             return
         self._path = start_line.path
         self._method = start_line.method
         self._headers = headers
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body."""
-        if self._other is not None:
-            self._other.data_received(chunk)
+        """Store a chunk of the body, or pass it to the application."""
+        if self._application_delegate is not None:
+            self._application_delegate.data_received(chunk)
         else:
             self._chunks.append(chunk)
 
     def on_connection_close(self) -> None:
-        """Forget a caller that has gone."""
-        if self._other is not None:
-            self._other.on_connection_close()
-        elif self._id:
-            self._runtime.withdraw(self._id)
+        """Withdraw the request of a caller that has disconnected."""
+        if self._application_delegate is not None:
+            self._application_delegate.on_connection_close()
+        elif self._internal_id:
+            self._runtime.withdraw(self._internal_id)
 
     def finish(self) -> None:
-        """Hand the whole request in."""
-        if self._other is not None:
-            self._other.finish()
+        """Submit the complete request to the runtime."""
+        if self._application_delegate is not None:
+            self._application_delegate.finish()
             return
-        self._id = self._runtime.new_id()
-        self._shown_id = self._headers.get(REQUEST_HEADER, self._id)[:MAX_ID]
+        self._internal_id = self._runtime.new_id()
+        self._request_id = self._headers.get(REQUEST_HEADER, self._internal_id)[
+            :MAX_REQUEST_ID_CHARS
+        ]
         if self._method != "POST":
-            self._refuse(f"method: expected POST, got {self._method}")
+            self._reject(f"method: expected POST, got {self._method}")
             return
-        seconds = self._seconds()
+        seconds = self._parse_deadline_seconds()
         if seconds is None:
             return
         arrival = RequestArrived(
-            self._id,
-            self._path[len(PREFIX) :].partition("?")[0],
+            self._internal_id,
+            self._path[len(PATH_PREFIX) :].partition("?")[0],
             monotonic() + seconds,
             b"".join(self._chunks),
             self._headers.get(KEY_HEADER, ""),
         )
         self._runtime.request(arrival, self._answer)
 
-    def _seconds(self) -> float | None:
-        """Return the time to the deadline, or answer a bad one and return ``None``."""
+    def _parse_deadline_seconds(self) -> float | None:
+        """Return the seconds until the deadline, or reject a bad header and return ``None``."""
         limits = self._runtime.settings.limits
         text = self._headers.get(DEADLINE_HEADER)
         if text is None:
@@ -133,16 +140,16 @@
         except ValueError:
             seconds = math.nan
         if not 0 < seconds <= limits.max_deadline:
-            allowed = f"expected 1 to {limits.max_deadline * 1000:g} milliseconds"
-            self._refuse(f"{DEADLINE_HEADER}: got {text!r}; {allowed}")
+            expected = f"expected 1 to {limits.max_deadline * 1000:g} milliseconds"
+            self._reject(f"{DEADLINE_HEADER}: got {text!r}; {expected}")
             return None
         return seconds
 
-    def _refuse(self, detail: str) -> None:
+    def _reject(self, detail: str) -> None:
         failure = Failure(Verdict.NOT_RUN, Reason.BAD_REQUEST, detail)
         self._write_failure(failure)
 
-    # -- Answers -----------------------------------------------------------------------------
+    # -- Responses ---------------------------------------------------------------------------
 
     def _answer(self, result: ServeResult) -> None:
         if isinstance(result, Ok):
@@ -151,20 +158,20 @@
             self._write_failure(result.err_value)
 
     def _write_served(self, served: Served) -> None:
-        fields = {VERDICT_HEADER: Verdict.DONE.value, UPSTREAM_HEADER: served.upstream}
-        self._write(served.status, fields, served.body)
+        header_fields = {VERDICT_HEADER: Verdict.DONE.value, UPSTREAM_HEADER: served.upstream}
+        self._write(served.status, header_fields, served.body)
 
     def _write_failure(self, failure: Failure) -> None:
-        fields = {VERDICT_HEADER: failure.verdict.value, "Content-Type": "application/json"}
+        header_fields = {VERDICT_HEADER: failure.verdict.value, "Content-Type": "application/json"}
         if failure.retry_after is not None:
-            fields[RETRY_HEADER] = f"{failure.retry_after:.3f}"
-        self._write(status_of(failure), fields, failure_body(failure, self._shown_id))
+            header_fields[RETRY_HEADER] = f"{failure.retry_after:.3f}"
+        self._write(http_status(failure), header_fields, failure_body(failure, self._request_id))
 
-    def _write(self, status: int, fields: dict[str, str], body: bytes) -> None:
-        headers = httputil.HTTPHeaders(fields)
-        headers[REQUEST_HEADER] = self._shown_id
+    def _write(self, status: int, header_fields: dict[str, str], body: bytes) -> None:
+        headers = httputil.HTTPHeaders(header_fields)
+        headers[REQUEST_HEADER] = self._request_id
         headers["Content-Length"] = str(len(body))
-        reason = REASONS.get(status) or httputil.responses.get(status, "Unknown")
-        line = httputil.ResponseStartLine("HTTP/1.1", status, reason)
-        self._connection.write_headers(line, headers, body)
+        reason = REASON_PHRASES.get(status) or httputil.responses.get(status, "Unknown")
+        status_line = httputil.ResponseStartLine("HTTP/1.1", status, reason)
+        self._connection.write_headers(status_line, headers, body)
         self._connection.finish()
--- a/src/sablemount/entry/views.py
+++ b/src/sablemount/entry/views.py
@@ -1,4 +1,4 @@
-"""What operators can read: typed views of the scheduler's tables."""
+"""Typed views of the scheduler's tables, as the HTTP interface shows them to operators."""
 
 import msgspec
 
@@ -14,16 +14,16 @@
     "TaskView",
     "VmView",
     "document_view",
-    "documents_of",
-    "members_of",
-    "shards_of",
+    "document_views",
+    "member_views",
+    "shard_views",
     "task_view",
-    "vms_of",
+    "vm_views",
 ]
 
 
 class DocumentView(msgspec.Struct, frozen=True):
-    """A document in force."""
+    """The current revision of a document."""
 
     key: str
     revision: int
@@ -33,7 +33,7 @@
 
 
 class TaskView(msgspec.Struct, frozen=True):
-    """A task, as any scheduler knows it; ``run`` and ``vm`` only as its owner does."""
+    """A task; only the owner of its shard knows ``run`` and ``vm``, which others leave empty."""
 
     task: str
     job: str
@@ -48,7 +48,7 @@
 
 
 class VmView(msgspec.Struct, frozen=True):
-    """A VM; ``stage`` and ``free`` are known to the owner of its shard alone."""
+    """A VM; only the owner of its shard knows ``stage`` and ``free``."""
 
     vm: str
     hall: str
@@ -62,7 +62,7 @@
 
 
 class ShardView(msgspec.Struct, frozen=True):
-    """A shard; ``state`` is known to its owner alone."""
+    """A shard; only its owner knows ``state``."""
 
     shard: int
     owner: str
@@ -73,7 +73,7 @@
 
 
 class MemberView(msgspec.Struct, frozen=True):
-    """A member, with the configuration offset that it has applied."""
+    """A member of the cell; ``offset`` is the configuration offset that it has applied."""
 
     name: str
     incarnation: str
@@ -88,8 +88,8 @@
     return DocumentView(key, row.revision, row.author, row.offset, row.document)
 
 
-def documents_of(scheduler: Scheduler) -> list[DocumentView]:
-    """Return all documents by key."""
+def document_views(scheduler: Scheduler) -> list[DocumentView]:
+    """Return the views of all documents, sorted by key."""
     rows = scheduler.state.ledger.documents
     return [document_view(key, rows[key]) for key in sorted(rows)]
 
@@ -118,8 +118,8 @@
     )
 
 
-def vms_of(scheduler: Scheduler) -> list[VmView]:
-    """Return all VMs by name."""
+def vm_views(scheduler: Scheduler) -> list[VmView]:
+    """Return the views of all VMs, sorted by name."""
     rows = scheduler.state.vms
     return [_vm_view(scheduler, rows[name]) for name in sorted(rows)]
 
@@ -148,8 +148,8 @@
     )
 
 
-def shards_of(scheduler: Scheduler) -> list[ShardView]:
-    """Return all shards."""
+def shard_views(scheduler: Scheduler) -> list[ShardView]:
+    """Return the views of all shards."""
     state = scheduler.state
     views = []
     for row in state.ledger.shards:
@@ -167,26 +167,26 @@
     return views
 
 
-def members_of(scheduler: Scheduler) -> list[MemberView]:
-    """Return all members by name."""
+def member_views(scheduler: Scheduler) -> list[MemberView]:
+    """Return the views of all members, sorted by name."""
     state = scheduler.state
-    owned: dict[str, int] = {}
+    shard_counts: dict[str, int] = {}
     for row in state.ledger.shards:
         if row.owner is not None:
-            owned[row.owner.name] = owned.get(row.owner.name, 0) + 1
+            shard_counts[row.owner.name] = shard_counts.get(row.owner.name, 0) + 1
     views = []
     for name in sorted(state.ledger.members):
         member = state.ledger.members[name]
         peer = state.peers.get(name)
-        own = member == state.writer
+        is_self = member == state.writer
         views.append(
             MemberView(
                 name,
                 f"{member.incarnation:x}",
                 state.ledger.halls[name],
-                owned.get(name, 0),
-                state.ledger.offset if own else (peer.offset if peer else 0),
-                0.0 if own or peer is None else round(state.now - peer.heard_at, 3),
+                shard_counts.get(name, 0),
+                state.ledger.offset if is_self else (peer.offset if peer else 0),
+                0.0 if is_self or peer is None else round(state.now - peer.heard_at, 3),
             )
         )
     return views
--- a/src/sablemount/logs.py
+++ b/src/sablemount/logs.py
@@ -1,4 +1,7 @@
-"""Logging of the daemon: lines for changes of state only, as text or JSON, with the request id."""
+"""Logging of the daemon, as text or JSON; each line carries the id of the current request.
+
+Only changes of state are logged.
+"""
 
 import contextvars
 import json
@@ -9,7 +12,7 @@
 
 from sablemount.settings import LogSettings
 
-__all__ = ["JsonFormatter", "RequestFilter", "configure", "request_id"]
+__all__ = ["JsonFormatter", "RequestFilter", "configure", "request_context"]
 
 TEXT_FORMAT = "%(asctime)s %(levelname)s %(name)s [%(request)s] %(message)s"
 NO_REQUEST = "-"
@@ -20,8 +23,8 @@
 
 
 @contextmanager
-def request_id(request: str) -> Iterator[None]:
-    """Put a request's id on the lines logged in the block."""
+def request_context(request: str) -> Iterator[None]:
+    """Attach a request's id to the records logged inside the ``with`` block."""
     token = _current_request.set(request)
     try:
         yield
@@ -33,16 +36,16 @@
     """Adds the id of the current request to each record."""
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Set ``record.request`` and let the record pass."""
+        """Set ``record.request`` and return ``True``."""
         record.request = _current_request.get()
         return True
 
 
 class JsonFormatter(logging.Formatter):
-    """Formats a record as one JSON object a line."""
+    """Formats a record as a JSON object on one line."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as JSON."""
+        """Return the record as one line of JSON."""
         line = {
             "time": self.formatTime(record),
             "level": record.levelname.lower(),
@@ -56,7 +59,7 @@
 
 
 def configure(settings: LogSettings) -> None:
-    """Set up the ``sablemount`` loggers to write to standard error."""
+    """Configure the ``sablemount`` loggers to write to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     json_lines = settings.format == "json"
     handler.setFormatter(JsonFormatter() if json_lines else logging.Formatter(TEXT_FORMAT))
--- a/src/sablemount/metrics.py
+++ b/src/sablemount/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the daemon, published through aioprometheus."""
+"""Metrics of the daemon in Prometheus format."""
 
 from collections.abc import Sequence
 
@@ -10,36 +10,40 @@
 __all__ = ["PrometheusMeter"]
 
 WAIT_BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 60.0)
-"""Bounds of the histogram of waiting times, in seconds."""
+"""Upper bounds of the buckets of the waiting-time histogram, in seconds."""
 
 
 class PrometheusMeter(Meter):
-    """Counts as its base does, and publishes the counters and a histogram of waiting times."""
+    """A meter that also observes waiting times, and renders all metrics for Prometheus."""
 
     def __init__(self) -> None:
         super().__init__()
         self._registry = Registry()
         buckets = (*WAIT_BUCKETS, float("inf"))
-        self._waits = Histogram(
+        self._wait_histogram = Histogram(
             "sablemount_wait_seconds",
             "Time from request to start",
             registry=self._registry,
             buckets=buckets,
         )
-        self._events = Counter(
+        self._event_counter = Counter(
             "sablemount_events_total", "What the scheduler did", registry=self._registry
         )
-        self._gauges = Gauge("sablemount_state", "State of the scheduler", registry=self._registry)
+        self._state_gauge = Gauge(
+            "sablemount_state", "State of the scheduler", registry=self._registry
+        )
 
     def waited(self, template: str, priority: str, seconds: float, within: bool) -> None:
-        """Take the time from request to start, and whether it met its objective (seconds)."""
+        """Record the seconds from request to start, and whether they met the objective."""
         super().waited(template, priority, seconds, within)
-        self._waits.observe({"priority": priority}, seconds)
+        self._wait_histogram.observe({"priority": priority}, seconds)
 
-    def publish(self, scheduler: Scheduler, accepts: Sequence[str]) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics in the format that the reader accepts, and the headers for it."""
+    def render_metrics(
+        self, scheduler: Scheduler, accepted_types: Sequence[str]
+    ) -> tuple[bytes, dict[str, str]]:
+        """Return the metrics in a format that the client accepts, and the response headers."""
         for (name, label), value in self.counters.items():
-            self._events.set({"event": name, "label": label}, value)
+            self._event_counter.set({"event": name, "label": label}, value)
         state = scheduler.state
         gauges = {
             "applied_offset": state.ledger.offset,
@@ -51,5 +55,5 @@
             "leased": int(state.leased()),
         }
         for name, value in gauges.items():
-            self._gauges.set({"value": name}, value)
-        return render(self._registry, list(accepts))
+            self._state_gauge.set({"value": name}, value)
+        return render(self._registry, list(accepted_types))
--- a/src/sablemount/structured_logs.py
+++ b/src/sablemount/structured_logs.py
@@ -143,7 +143,7 @@
 
 
 def configure(level: int = logging.INFO) -> BoundedHandler:
-    """Set up the ``sablemount`` loggers to write to standard output."""
+    """Configure the ``sablemount`` loggers to write to standard output; return their handler."""
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
     handler = BoundedHandler(descriptor)
