--- a/src/sablemount/boottime.py
+++ b/src/sablemount/boottime.py
@@ -1,7 +1,8 @@
-"""The clock by which a process measures ages and deadlines: it counts suspended time too.
+"""A monotonic clock that includes suspended time, and an event loop that runs on it.
 
-The usual steady clock stands still while a machine is suspended, so that a lease, a claim of
-leadership or a word of the store looks younger on waking than it is.
+All ages and deadlines of a process use this clock. The usual monotonic clock stops while the
+machine is suspended, so that after resumption a lease, a claim of leadership or an answer of the
+store would look more recent than it is.
 """
 
 import asyncio
@@ -15,22 +16,22 @@
 
 
 def monotonic() -> float:
-    """Return seconds since the machine started, suspended ones included; it never goes back."""
+    """Return the seconds since boot, including time suspended; the value never decreases."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class BoottimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers and time-outs count suspended time.
+    """An event loop whose timers and time-outs include suspended time.
 
-    On waking, a timer that came due meanwhile runs with the next event or the next timer.
+    A timer that expires during a suspension runs after it, with the next event or timer.
     """
 
     def time(self) -> float:
-        """Return the loop's time in seconds."""
+        """Return the time of the loop's clock in seconds."""
         return monotonic()
 
 
 def run(main: Coroutine[Any, Any, _T]) -> _T:
-    """Run a coroutine to its end on such a loop, and return what it returns."""
+    """Run a coroutine to completion on a ``BoottimeLoop`` and return its result."""
     with asyncio.Runner(loop_factory=BoottimeLoop) as runner:
         return runner.run(main)
--- a/src/sablemount/cli/__init__.py
+++ b/src/sablemount/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for operators."""
+"""The command-line interface for operators."""
--- a/src/sablemount/cli/app.py
+++ b/src/sablemount/cli/app.py
@@ -1,7 +1,8 @@
 """The command line ``sablemount`` for operators.
 
-Exit codes: 0 done; 2 wrong usage or input; 3 refused, nothing ran; 4 the scheduler does not answer;
-5 the outcome is uncertain, read the state before trying again; 6 a task ended without success.
+Exit codes: 0 success; 2 wrong usage or invalid input; 3 refused, nothing was run; 4 no answer
+from the scheduler; 5 outcome unknown, read the state before trying again; 6 a task ended without
+success.
 """
 
 import difflib
@@ -16,15 +17,15 @@
 
 from sablemount.boottime import monotonic
 from sablemount.cli import burn
-from sablemount.cli.client import Client, Problem
+from sablemount.cli.client import Client, ClientError
 from sablemount.cli.output import show_json, show_rows
 from sablemount.core.documents import Document, document_key
 
 __all__ = ["app", "main"]
 
 EXIT_USAGE = 2
-EXIT_TASK = 6
-POLL_SECONDS = 0.2
+EXIT_TASK_FAILED = 6
+POLL_INTERVAL_S = 0.2
 DEFAULT_ADDRESS = "127.0.0.1:8080"
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, help="Operate a sablemount cell.")
@@ -46,7 +47,10 @@
 def _options(
     context: typer.Context,
     address: Annotated[
-        str, typer.Option("--address", "-a", envvar="SABLEMOUNT_ADDRESS", help="A scheduler.")
+        str,
+        typer.Option(
+            "--address", "-a", envvar="SABLEMOUNT_ADDRESS", help="Address of a scheduler."
+        ),
     ] = DEFAULT_ADDRESS,
     timeout: Annotated[float, typer.Option(help="Seconds to wait for an answer.")] = 15.0,
 ) -> None:
@@ -60,16 +64,16 @@
 def _call(context: typer.Context, method: str, path: str, body: Any = None) -> Any:
     answer = _client(context).call(method, path, body)
     if isinstance(answer, Err):
-        _stop(answer.err_value)
+        _exit_with_error(answer.err_value)
     return answer.ok_value
 
 
-def _stop(problem: Problem) -> NoReturn:
-    typer.echo(problem.message, err=True)
-    raise typer.Exit(problem.code)
+def _exit_with_error(error: ClientError) -> NoReturn:
+    typer.echo(error.message, err=True)
+    raise typer.Exit(error.exit_code)
 
 
-def _usage(message: str) -> NoReturn:
+def _exit_with_usage_error(message: str) -> NoReturn:
     typer.echo(message, err=True)
     raise typer.Exit(EXIT_USAGE)
 
@@ -78,9 +82,9 @@
     try:
         return msgspec.json.decode(path.read_bytes(), type=Document)  # type: ignore[arg-type]
     except OSError as error:
-        _usage(f"{path}: {error.strerror}")
+        _exit_with_usage_error(f"{path}: {error.strerror}")
     except msgspec.DecodeError as error:
-        _usage(f"{path}: {error}")
+        _exit_with_usage_error(f"{path}: {error}")
 
 
 # -- Documents -------------------------------------------------------------------------------
@@ -91,39 +95,39 @@
     context: typer.Context,
     file: Annotated[Path, typer.Argument(help="Document, JSON.")],
     expected: Annotated[
-        int | None, typer.Option(help="Revision that this replaces; 0 for a new document.")
+        int | None, typer.Option(help="Revision to replace; 0 for a new document.")
     ] = None,
-    author: Annotated[str, typer.Option(help="Who publishes.")] = "operator",
+    author: Annotated[str, typer.Option(help="Name of the author.")] = "operator",
     as_json: Json = False,
 ) -> None:
-    """Publish a document; fails if somebody else has revised it meanwhile."""
+    """Publish a document; fails if the expected revision is not the current one."""
     document = _read_document(file)
     key = document_key(document)
     if expected is None:
-        expected = _revision(context, key)
+        expected = _current_revision(context, key)
     body = {"document": document, "expected": expected, "author": author}
     answer = _client(context).call("PUT", f"/v1/documents/{key}", body)
     if isinstance(answer, Err):
         _show_conflict(document, answer.err_value)
-        _stop(answer.err_value)
+        _exit_with_error(answer.err_value)
     elif as_json:
         show_json(answer.ok_value)
     else:
         typer.echo(f"{key} is at revision {answer.ok_value['revision']}")
 
 
-def _revision(context: typer.Context, key: str) -> int:
-    current = _current(context, key)
+def _current_revision(context: typer.Context, key: str) -> int:
+    current = _current_document(context, key)
     return current["revision"] if current else 0
 
 
-def _current(context: typer.Context, key: str) -> Any:
+def _current_document(context: typer.Context, key: str) -> Any:
     rows = _call(context, "GET", "/v1/documents")
     return next((row for row in rows if row["key"] == key), None)
 
 
-def _show_conflict(document: Document, problem: Problem) -> None:
-    current = problem.body.get("current") if isinstance(problem.body, dict) else None
+def _show_conflict(document: Document, error: ClientError) -> None:
+    current = error.body.get("current") if isinstance(error.body, dict) else None
     if current:
         typer.echo(f"revision {current['revision']} by {current['author']}:", err=True)
         for line in _diff(current["document"], msgspec.to_builtins(document)):
@@ -140,9 +144,9 @@
 def diff(
     context: typer.Context, file: Annotated[Path, typer.Argument(help="Document, JSON.")]
 ) -> None:
-    """Show how a document differs from the one in force."""
+    """Show how a document differs from its current revision."""
     document = _read_document(file)
-    current = _current(context, document_key(document))
+    current = _current_document(context, document_key(document))
     old = current["document"] if current else {}
     for line in _diff(old, msgspec.to_builtins(document)):
         typer.echo(line)
@@ -150,13 +154,13 @@
 
 @template.command("show")
 def show(context: typer.Context, key: str) -> None:
-    """Show a document in force."""
+    """Show the current revision of a document."""
     show_json(_call(context, "GET", f"/v1/documents/{key}"))
 
 
 @template.command("list")
 def list_documents(context: typer.Context, as_json: Json = False) -> None:
-    """List the documents in force."""
+    """List the documents and their current revisions."""
     rows = _call(context, "GET", "/v1/documents")
     show_rows(rows, ["key", "revision", "author", "offset"], as_json)
 
@@ -170,11 +174,11 @@
     template_key: Annotated[str, typer.Argument(metavar="TEMPLATE")],
     job: Annotated[str | None, typer.Option(help="Name of the job.")] = None,
     count: Annotated[int, typer.Option(min=1)] = 1,
-    parameter: Annotated[list[str] | None, typer.Option(help="NAME=JSON, repeated.")] = None,
+    parameter: Annotated[list[str] | None, typer.Option(help="NAME=JSON; may be repeated.")] = None,
     as_json: Json = False,
 ) -> None:
-    """Submit a job; it is accepted when the command returns."""
-    parameters = dict(_parameter(text) for text in parameter or [])
+    """Submit a job; the command returns once the job is accepted."""
+    parameters = dict(_parse_parameter(text) for text in parameter or [])
     body: dict[str, Any] = {"template": template_key, "count": count, "parameters": parameters}
     if job:
         body["job"] = job
@@ -185,10 +189,10 @@
         typer.echo(f"accepted {answer['job']} ({answer['count']} tasks)")
 
 
-def _parameter(text: str) -> tuple[str, Any]:
-    name, found, value = text.partition("=")
-    if not found:
-        _usage(f"--parameter {text!r}: expected NAME=JSON")
+def _parse_parameter(text: str) -> tuple[str, Any]:
+    name, separator, value = text.partition("=")
+    if not separator:
+        _exit_with_usage_error(f"--parameter {text!r}: expected NAME=JSON")
     try:
         return name, json.loads(value)
     except ValueError:
@@ -204,7 +208,9 @@
 @task.command("list")
 def list_tasks(
     context: typer.Context,
-    job: Annotated[str, typer.Option(help="Tasks of this job; else the open ones.")] = "",
+    job: Annotated[
+        str, typer.Option(help="List the tasks of this job; by default all unfinished tasks.")
+    ] = "",
     as_json: Json = False,
 ) -> None:
     """List tasks."""
@@ -222,22 +228,26 @@
 def wait(
     context: typer.Context,
     job: str,
-    seconds: Annotated[float, typer.Option(help="How long to wait.")] = 60.0,
+    seconds: Annotated[float, typer.Option(help="Maximum time to wait.")] = 60.0,
 ) -> None:
     """Wait until all tasks of a job have ended."""
     deadline = monotonic() + seconds
     while True:
         rows = _call(context, "GET", f"/v1/tasks?job={job}")
-        missing = [row for row in rows if not row["verdict"]]
-        if rows and not missing:
+        unfinished = [row for row in rows if not row["verdict"]]
+        if rows and not unfinished:
             break
         if monotonic() > deadline:
-            _stop(Problem(f"{len(missing)} of {len(rows)} tasks have not ended", EXIT_TASK))
-        time.sleep(POLL_SECONDS)
-    bad = [row for row in rows if row["verdict"] != "DONE" or row["reason"]]
-    typer.echo(f"{len(rows) - len(bad)} done, {len(bad)} not")
-    if bad:
-        raise typer.Exit(EXIT_TASK)
+            _exit_with_error(
+                ClientError(
+                    f"{len(unfinished)} of {len(rows)} tasks have not ended", EXIT_TASK_FAILED
+                )
+            )
+        time.sleep(POLL_INTERVAL_S)
+    unsuccessful = [row for row in rows if row["verdict"] != "DONE" or row["reason"]]
+    typer.echo(f"{len(rows) - len(unsuccessful)} done, {len(unsuccessful)} not")
+    if unsuccessful:
+        raise typer.Exit(EXIT_TASK_FAILED)
 
 
 # -- The cell --------------------------------------------------------------------------------
@@ -259,7 +269,7 @@
 
 @app.command("members")
 def members(context: typer.Context, as_json: Json = False) -> None:
-    """List the schedulers and the configuration offset that each has applied."""
+    """List the schedulers and the configuration offset that each one has applied."""
     rows = _call(context, "GET", "/v1/members")
     show_rows(rows, ["name", "hall", "shards", "offset", "heard_seconds_ago"], as_json)
 
@@ -268,9 +278,9 @@
 def drain(
     context: typer.Context,
     vm: str,
-    undo: Annotated[bool, typer.Option("--undo", help="Take the VM back into use.")] = False,
+    undo: Annotated[bool, typer.Option("--undo", help="End the drain.")] = False,
 ) -> None:
-    """Give a VM no new work; what runs there finishes or moves."""
+    """Drain a VM: it gets no new work, and running work finishes or is moved."""
     _call(context, "POST", f"/v1/vms/{vm}/drain", {"drain": not undo})
     typer.echo(f"{vm} is {'in use' if undo else 'draining'}")
 
@@ -282,12 +292,14 @@
 def burn_report(
     context: typer.Context,
     scheduler: Annotated[
-        list[str] | None, typer.Option(help="Address of each scheduler, repeated.")
+        list[str] | None, typer.Option(help="Address of a scheduler; may be repeated.")
+    ] = None,
+    html: Annotated[
+        Path | None, typer.Option(help="Write the report to this file as HTML.")
     ] = None,
-    html: Annotated[Path | None, typer.Option(help="Write an HTML page.")] = None,
     as_json: Json = False,
 ) -> None:
-    """Report how fast each template uses up its error budget, over all schedulers."""
+    """Report how fast each template uses up its error budget, across all schedulers."""
     addresses = scheduler or [_client(context).address]
     collected = burn.collect(addresses)
     if html is not None:
--- a/src/sablemount/cli/client.py
+++ b/src/sablemount/cli/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the command line: one call, a typed answer or a plain error."""
+"""HTTP client of the command line, which returns a decoded answer or an error for operators."""
 
 import json
 from typing import Any, TypeAlias
@@ -7,34 +7,34 @@
 from result import Err, Ok, Result
 from tornado import httpclient
 
-__all__ = ["Client", "Problem"]
+__all__ = ["Client", "ClientError"]
 
 EXIT_REFUSED = 3
 EXIT_UNREACHABLE = 4
 EXIT_UNCERTAIN = 5
-BAD_STATUS = 400
+FIRST_ERROR_STATUS = 400
 
 
-class Problem(msgspec.Struct, frozen=True):
-    """Why a call brought no answer, and the exit code that it means."""
+class ClientError(msgspec.Struct, frozen=True):
+    """Why a call failed, the exit code to end with, and the decoded response body if any."""
 
     message: str
-    code: int
+    exit_code: int
     body: Any = None
 
 
-Answer: TypeAlias = Result[Any, Problem]
+CallResult: TypeAlias = Result[Any, ClientError]
 
 
 class Client:
-    """Calls one scheduler."""
+    """A client of one scheduler."""
 
     def __init__(self, address: str, timeout: float) -> None:
         self.address = address
         self._timeout = timeout
 
-    def call(self, method: str, path: str, body: Any = None) -> Answer:
-        """Call a path and return the decoded JSON answer."""
+    def call(self, method: str, path: str, body: Any = None) -> CallResult:
+        """Send one request and return the decoded JSON answer or the error."""
         client = httpclient.HTTPClient()
         try:
             response = client.fetch(
@@ -45,22 +45,22 @@
                 raise_error=False,
             )
         except (OSError, ValueError) as error:
-            return Err(Problem(f"{self.address}: {error}", EXIT_UNREACHABLE))
+            return Err(ClientError(f"{self.address}: {error}", EXIT_UNREACHABLE))
         finally:
             client.close()
-        return _decode(self.address, response)
+        return _decode_response(self.address, response)
 
 
-def _decode(address: str, response: httpclient.HTTPResponse) -> Answer:
+def _decode_response(address: str, response: httpclient.HTTPResponse) -> CallResult:
     if response.error is not None and response.code == httpclient.HTTPError(599).code:
-        return Err(Problem(f"{address}: {response.error}", EXIT_UNREACHABLE))
+        return Err(ClientError(f"{address}: {response.error}", EXIT_UNREACHABLE))
     try:
         body = json.loads(response.body or b"null")
     except ValueError:
-        return Err(Problem(f"{address}: not a scheduler's answer", EXIT_UNREACHABLE))
-    if response.code < BAD_STATUS:
+        return Err(ClientError(f"{address}: not a scheduler's answer", EXIT_UNREACHABLE))
+    if response.code < FIRST_ERROR_STATUS:
         return Ok(body)
     verdict = body.get("verdict", "") if isinstance(body, dict) else ""
     detail = body.get("detail") or body.get("reason") if isinstance(body, dict) else str(body)
-    code = EXIT_UNCERTAIN if verdict == "MAY_HAVE_RUN" else EXIT_REFUSED
-    return Err(Problem(f"{verdict or response.code}: {detail}", code, body))
+    exit_code = EXIT_UNCERTAIN if verdict == "MAY_HAVE_RUN" else EXIT_REFUSED
+    return Err(ClientError(f"{verdict or response.code}: {detail}", exit_code, body))
--- a/src/sablemount/cli/output.py
+++ b/src/sablemount/cli/output.py
@@ -1,4 +1,4 @@
-"""Output of the command line: tables for people, JSON for scripts."""
+"""Output of the command line: tables for people and JSON for scripts."""
 
 import json
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 
 __all__ = ["show_json", "show_rows"]
 
-TABLE_WIDTH = 140
+TABLE_WIDTH_CHARS = 140
 
 
 def show_json(value: Any) -> None:
@@ -19,7 +19,7 @@
 
 
 def show_rows(rows: Sequence[dict[str, Any]], columns: Sequence[str], as_json: bool) -> None:
-    """Print rows as a table of the given columns, or all of them as JSON."""
+    """Print rows as a table of the given columns, or with all their fields as JSON."""
     if as_json:
         show_json(list(rows))
         return
@@ -27,11 +27,11 @@
     for column in columns:
         table.add_column(column.replace("_", " "))
     for row in rows:
-        table.add_row(*(_cell(row.get(column)) for column in columns))
-    Console(width=TABLE_WIDTH).print(table)
+        table.add_row(*(_format_cell(row.get(column)) for column in columns))
+    Console(width=TABLE_WIDTH_CHARS).print(table)
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if value is None:
         return "-"
     if isinstance(value, float):
--- a/src/sablemount/settings.py
+++ b/src/sablemount/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon: a JSON file, checked against a published schema."""
+"""Settings of the daemon, read from a JSON file and checked against a published schema."""
 
 import ipaddress
 import json
@@ -47,7 +47,7 @@
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the daemon logs."""
+    """Level and format of the daemon's log."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
     format: Literal["text", "json"] = "text"
@@ -69,15 +69,15 @@
 
 
 class SettingsError(msgspec.Struct, frozen=True):
-    """What is wrong with a settings file."""
+    """Describes the first problem found in a settings file: where it is, and the value there."""
 
     file: str
     path: str
     value: str
-    allowed: str
+    problem: str
 
     def __str__(self) -> str:
-        return f"{self.file}: {self.path}: got {self.value}; {self.allowed}"
+        return f"{self.file}: {self.path}: got {self.value}; {self.problem}"
 
 
 SettingsResult: TypeAlias = Result[Settings, SettingsError]
@@ -89,7 +89,7 @@
 
 
 def load_settings(path: Path) -> SettingsResult:
-    """Read and check a settings file."""
+    """Read and validate a settings file."""
     try:
         payload = path.read_bytes()
     except OSError as error:
@@ -98,30 +98,30 @@
 
 
 def parse_settings(payload: bytes, file: str) -> SettingsResult:
-    """Check the text of a settings file."""
+    """Decode and validate the contents of a settings file."""
     try:
         settings = msgspec.json.decode(payload, type=Settings)
     except msgspec.ValidationError as error:
-        return Err(_describe(error, payload, file))
+        return Err(_describe_error(error, payload, file))
     except msgspec.DecodeError as error:
         return Err(SettingsError(file, "$", "malformed JSON", str(error)))
-    return _check_addresses(settings, file)
+    return _check_settings(settings, file)
 
 
-def _describe(error: msgspec.ValidationError, payload: bytes, file: str) -> SettingsError:
-    reason, _, path = str(error).partition(" - at ")
+def _describe_error(error: msgspec.ValidationError, payload: bytes, file: str) -> SettingsError:
+    message, _, path = str(error).partition(" - at ")
     path = path.strip("`") or "$"
     try:
         document = json.loads(payload)
-    except ValueError as malformed:
-        return SettingsError(file, "$", "malformed JSON", str(malformed))
+    except ValueError as decode_error:
+        return SettingsError(file, "$", "malformed JSON", str(decode_error))
     value = _value_at(document, path)
-    allowed = _choices_at(path) or reason[0].lower() + reason[1:]
-    return SettingsError(file, path, json.dumps(value), allowed)
+    problem = _enum_values_at(path) or message[0].lower() + message[1:]
+    return SettingsError(file, path, json.dumps(value), problem)
 
 
-def _choices_at(path: str) -> str:
-    """Return which values the schema allows at a path, if it lists them."""
+def _enum_values_at(path: str) -> str:
+    """Return a text that lists the enumerated values for a path, or an empty one."""
     schema = settings_schema()
     node: Any = schema
     for part in path.replace("[", ".[").split(".")[1:]:
@@ -131,7 +131,10 @@
 
 
 def _value_at(document: Any, path: str) -> Any:
-    """Return the value that a path such as ``$.peers[0].name`` names, as far as it exists."""
+    """Return the value at a path such as ``$.peers[0].name``.
+
+    Where the document lacks a part of the path, return the innermost value that exists.
+    """
     value = document
     for part in path.replace("[", ".[").split(".")[1:]:
         try:
@@ -141,20 +144,20 @@
     return value
 
 
-def _check_addresses(settings: Settings, file: str) -> SettingsResult:
-    named = [
+def _check_settings(settings: Settings, file: str) -> SettingsResult:
+    addresses = [
         ("$.listen", settings.listen),
         ("$.peer_listen", settings.peer_listen),
         ("$.log_service", settings.log_service),
         ("$.vm_list", settings.vm_list),
     ]
-    named += [
+    addresses += [
         (f"$.peers[{index}].address", peer.address) for index, peer in enumerate(settings.peers)
     ]
-    for path, address in named:
+    for path, address in addresses:
         if not _is_address(address):
-            allowed = "expected an IP number and a port, such as 127.0.0.1:8080"
-            return Err(SettingsError(file, path, json.dumps(address), allowed))
+            problem = "expected an IP number and a port, such as 127.0.0.1:8080"
+            return Err(SettingsError(file, path, json.dumps(address), problem))
     if len({peer.name for peer in settings.peers}) != len(settings.peers):
         names = json.dumps([peer.name for peer in settings.peers])
         return Err(SettingsError(file, "$.peers", names, "expected distinct names"))
