--- a/src/sablemount/entry/application.py
+++ b/src/sablemount/entry/application.py
@@ -57,7 +57,7 @@
 
 
 class ConflictBody(msgspec.Struct, frozen=True):
-    """Response to a publication that expected another revision than ``current``."""
+    """Response to a publication whose expected revision is outdated; ``current`` is the newest."""
 
     verdict: Verdict
     reason: Reason
@@ -82,7 +82,7 @@
             body.parameters,
             self.deadline(body.deadline_seconds),
         )
-        result = await self.runtime.command(event, token)
+        result = await self.runtime.run_command(event, token)
         if isinstance(result, Err):
             self.fail(result.err_value)
         else:
@@ -116,7 +116,7 @@
         """Cancel one task."""
         token = self.runtime.new_id()
         event = events.CancelRequested(token, task, self.deadline(None))
-        result = await self.runtime.command(event, token)
+        result = await self.runtime.run_command(event, token)
         if isinstance(result, Err):
             self.fail(result.err_value)
         else:
@@ -155,7 +155,7 @@
         event = events.PublishRequested(
             token, body.document, body.expected, body.author, self.deadline(None)
         )
-        result = await self.runtime.command(event, token)
+        result = await self.runtime.run_command(event, token)
         if isinstance(result, Ok):
             self.reply(self._current_view(key))
         elif result.err_value.reason is Reason.CONFLICT:
@@ -191,7 +191,7 @@
         body = self.decode(DrainBody)
         token = self.runtime.new_id()
         event = events.DrainRequested(token, vm, body.drain, self.deadline(None))
-        result = await self.runtime.command(event, token)
+        result = await self.runtime.run_command(event, token)
         if isinstance(result, Err):
             self.fail(result.err_value)
         else:
--- a/src/sablemount/entry/requests.py
+++ b/src/sablemount/entry/requests.py
@@ -103,7 +103,7 @@
         if self._application_delegate is not None:
             self._application_delegate.on_connection_close()
         elif self._internal_id:
-            self._runtime.withdraw(self._internal_id)
+            self._runtime.withdraw_request(self._internal_id)
 
     def finish(self) -> None:
         """Submit the complete request to the runtime."""
@@ -127,7 +127,7 @@
             b"".join(self._chunks),
             self._headers.get(KEY_HEADER, ""),
         )
-        self._runtime.request(arrival, self._answer)
+        self._runtime.submit_request(arrival, self._answer)
 
     def _parse_deadline_seconds(self) -> float | None:
         """Return the seconds until the deadline, or reject a bad header and return ``None``."""
--- a/src/sablemount/runtime.py
+++ b/src/sablemount/runtime.py
@@ -219,14 +219,14 @@
         """Return an id that is unique among the requests of the cell."""
         return f"{self._id_prefix}-{next(self._id_numbers):x}"
 
-    def request(
+    def submit_request(
         self, arrival: events.RequestArrived, answer: Callable[[ServeResult], None]
     ) -> None:
         """Submit a request; ``answer`` is called exactly once, unless the caller withdraws."""
         self._answer_callbacks[arrival.request] = answer
         self.dispatch(arrival)
 
-    def withdraw(self, request: str) -> None:
+    def withdraw_request(self, request: str) -> None:
         """Drop a request whose caller has disconnected; its ``answer`` is not called."""
         if self._answer_callbacks.pop(request, None) is not None:
             self.dispatch(events.RequestWithdrawn(request))
@@ -239,10 +239,10 @@
             if not future.done():
                 future.set_result(result)
 
-        self.request(arrival, answer)
+        self.submit_request(arrival, answer)
         return await future
 
-    async def command(self, event: events.Event, token: str) -> Result[None, Failure]:
+    async def run_command(self, event: events.Event, token: str) -> Result[None, Failure]:
         """Dispatch a command under its token and wait until the log has settled it."""
         future: asyncio.Future[Failure | None] = asyncio.get_running_loop().create_future()
         self._pending_commands[token] = future
