--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""Lets the run pass over the tests of KNOWN-RED.txt, and prints them.
+"""Pytest configuration: tests listed in KNOWN-RED.txt are expected to fail, and are printed.
 
-A listed test has to fail: one that passes fails the run, so that its entry is looked at. One that
-is marked to fail only at times may pass. Where several processes run the tests, those in real time
-share two, one after the other in each.
+A listed test must fail: if it passes, the run fails, so that its entry gets reviewed. A test that
+is marked as failing only sometimes may pass. Under pytest-xdist, the tests that run in real time
+form two groups, each of which runs in sequence in one worker.
 """
 
 import pytest
@@ -13,9 +13,9 @@
 __all__ = ["pytest_runtest_makereport"]
 
 
-VIRTUAL_TIME = "tests/jobs/"
-"""Where the tests are that take the same course however busy the machine is."""
-PLATFORM = "tests/platform/"
+VIRTUAL_TIME_TESTS = "tests/jobs/"
+"""Tests on a simulated clock, which the load of the machine does not affect."""
+PLATFORM_TESTS = "tests/platform/"
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
@@ -23,9 +23,9 @@
     for item in items:
         entry = known_red.entry_of(entries, item.nodeid)
         if entry is not None:
-            item.add_marker(pytest.mark.xfail(reason=entry.seen, strict=not entry.sometimes))
-        if not item.nodeid.startswith(VIRTUAL_TIME):
-            group = "platform" if item.nodeid.startswith(PLATFORM) else "real time"
+            item.add_marker(pytest.mark.xfail(reason=entry.seen, strict=not entry.flaky))
+        if not item.nodeid.startswith(VIRTUAL_TIME_TESTS):
+            group = "platform" if item.nodeid.startswith(PLATFORM_TESTS) else "real time"
             item.add_marker(pytest.mark.xdist_group(group))
 
 
@@ -33,5 +33,7 @@
     entries = known_red.read()
     terminalreporter.write_line(f"known to fail: {len(entries)}")
     for entry in entries:
-        at_times = ", at times" if entry.sometimes else ""
-        terminalreporter.write_line(f"  {entry.test} ({entry.seen}; issue {entry.issue}{at_times})")
+        flaky_note = ", at times" if entry.flaky else ""
+        terminalreporter.write_line(
+            f"  {entry.test} ({entry.seen}; issue {entry.issue}{flaky_note})"
+        )
--- a/tests/documents.py
+++ b/tests/documents.py
@@ -1,4 +1,4 @@
-"""Documents that the tests share."""
+"""Template documents that several tests use."""
 
 from sablemount.core.documents import Kind, PriorityClass, Shape, TemplateDocument
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a known fault: what may be listed, and what it says of a test."""
+"""Reader of KNOWN-RED.txt, the list of tests that fail because of a known fault."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -6,32 +6,32 @@
 __all__ = ["Entry", "ListError", "entry_of", "parse", "read"]
 
 FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
-SEPARATOR = " | "
-FIELDS = 4
-SOMETIMES = "sometimes "
-"""Stands before a test that fails only at times."""
+FIELD_SEPARATOR = " | "
+FIELD_COUNT = 4
+FLAKY_PREFIX = "sometimes "
+"""Marks a test that fails only sometimes."""
 
 
 class ListError(ValueError):
-    """The list is not as it has to be."""
+    """The list is malformed, or names a test twice."""
 
 
 @dataclass(frozen=True)
 class Entry:
-    """A test's id, how its fault is brought about, what was seen, and the issue that is open."""
+    """A test's id, the command that reproduces its failure, what was seen, and the open issue."""
 
     test: str
     command: str
     seen: str
     issue: str
-    sometimes: bool = False
-    """Whether the test fails only at times, so that it may pass."""
+    flaky: bool = False
+    """Whether the test fails only sometimes and may therefore pass."""
 
 
 def parse(text: str) -> list[Entry]:
-    """Return the entries of a list, a line each; lines that begin with # are comments."""
+    """Return the entries of a list, one per line; lines that start with # are comments."""
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
-    entries = [_entry(line) for line in lines]
+    entries = [_parse_line(line) for line in lines]
     tests = [entry.test for entry in entries]
     for test in tests:
         if tests.count(test) > 1:
@@ -39,22 +39,24 @@
     return entries
 
 
-def _entry(line: str) -> Entry:
-    fields = [field.strip() for field in line.split(SEPARATOR)]
-    if len(fields) != FIELDS or not all(fields):
-        raise ListError(f"not 'test{SEPARATOR}command{SEPARATOR}seen{SEPARATOR}issue': {line}")
+def _parse_line(line: str) -> Entry:
+    fields = [field.strip() for field in line.split(FIELD_SEPARATOR)]
+    if len(fields) != FIELD_COUNT or not all(fields):
+        raise ListError(
+            f"not 'test{FIELD_SEPARATOR}command{FIELD_SEPARATOR}seen{FIELD_SEPARATOR}issue': {line}"
+        )
     test, command, seen, issue = fields
     return Entry(
-        test.removeprefix(SOMETIMES), command, seen, issue, sometimes=test.startswith(SOMETIMES)
+        test.removeprefix(FLAKY_PREFIX), command, seen, issue, flaky=test.startswith(FLAKY_PREFIX)
     )
 
 
 def read() -> list[Entry]:
-    """Return the entries of the repository's list; none without one."""
+    """Return the entries of the repository's list, or none if there is no list."""
     return parse(FILE.read_text()) if FILE.exists() else []
 
 
-def entry_of(entries: list[Entry], node: str) -> Entry | None:
-    """Return the entry of a test; one without parameters stands for the test with each of them."""
-    names = (node, node.partition("[")[0])
+def entry_of(entries: list[Entry], node_id: str) -> Entry | None:
+    """Return the entry of a test; an entry without parameters covers the test with any of them."""
+    names = (node_id, node_id.partition("[")[0])
     return next((entry for entry in entries if entry.test in names), None)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input: each is refused with the field and the reason, and nothing runs."""
+"""Invalid settings, requests and commands are rejected with the field and reason; nothing runs."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 from sablemount.settings import parse_settings
 from tests.documents import ALL, LONG, QUOTE
 
-GOOD_SETTINGS = {
+VALID_SETTINGS = {
     "name": "s0",
     "hall": "sala-norte",
     "listen": "127.0.0.1:8080",
@@ -52,7 +52,7 @@
     ids=lambda change: json.dumps(change),
 )
 def test_settings_errors_name_the_field(change: dict[str, Any], snapshot: Any) -> None:
-    loaded = parse_settings(json.dumps({**GOOD_SETTINGS, **change}).encode(), "s0.json")
+    loaded = parse_settings(json.dumps({**VALID_SETTINGS, **change}).encode(), "s0.json")
     assert isinstance(loaded, Err)
     assert str(loaded.err_value) == snapshot
 
@@ -63,7 +63,7 @@
     assert isinstance(parse_settings(payload, "x"), Err)
 
 
-JSON = st.recursive(
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(max_size=8),
     lambda inner: (
         st.lists(inner, max_size=3)
@@ -74,7 +74,7 @@
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
-@given(JSON)
+@given(JSON_VALUES)
 def test_document_parser_raises_only_its_own_error(value: Any) -> None:
     try:
         msgspec.json.decode(json.dumps(value), type=Document)  # type: ignore[arg-type]
@@ -91,16 +91,16 @@
 
 # -- HTTP ------------------------------------------------------------------------------------
 
-JOB = {"template": "rueda/plan", "job": "never"}
-BAD_CALLS: list[tuple[str, str, Any, dict[str, str]]] = [
+VALID_JOB = {"template": "rueda/plan", "job": "never"}
+INVALID_CALLS: list[tuple[str, str, Any, dict[str, str]]] = [
     ("POST", "/v1/jobs", b"{", {}),
-    ("POST", "/v1/jobs", {**JOB, "count": "two"}, {}),
-    ("POST", "/v1/jobs", {**JOB, "count": 0}, {}),
-    ("POST", "/v1/jobs", {**JOB, "colour": 1}, {}),
-    ("POST", "/v1/jobs", {**JOB, "template": "rueda/none"}, {}),
-    ("POST", "/v1/jobs", {**JOB, "template": "rueda/quote"}, {}),
-    ("POST", "/v1/jobs", {**JOB, "parameters": {"zone": "x"}}, {}),
-    ("POST", "/v1/jobs", {**JOB, "deadline_seconds": -1}, {}),
+    ("POST", "/v1/jobs", {**VALID_JOB, "count": "two"}, {}),
+    ("POST", "/v1/jobs", {**VALID_JOB, "count": 0}, {}),
+    ("POST", "/v1/jobs", {**VALID_JOB, "colour": 1}, {}),
+    ("POST", "/v1/jobs", {**VALID_JOB, "template": "rueda/none"}, {}),
+    ("POST", "/v1/jobs", {**VALID_JOB, "template": "rueda/quote"}, {}),
+    ("POST", "/v1/jobs", {**VALID_JOB, "parameters": {"zone": "x"}}, {}),
+    ("POST", "/v1/jobs", {**VALID_JOB, "deadline_seconds": -1}, {}),
     ("PUT", "/v1/documents/rueda/other", {"document": msgspec.to_builtins(LONG)}, {}),
     ("PUT", "/v1/documents/rueda/long", {"document": {"type": "template"}}, {}),
     (
@@ -130,7 +130,7 @@
 ]
 
 
-async def with_cell(call: Any) -> Cell:
+async def run_in_cell(scenario: Any) -> Cell:
     cell = Cell(schedulers=1, workers=2, core=CoreSettings(shards=2))
     await cell.start()
     try:
@@ -138,18 +138,18 @@
             key = f"{document.organisation}/{document.name}"
             body = {"document": document, "author": "operator"}
             await cell.call(0, "PUT", f"/v1/documents/{key}", body)
-        await call(cell)
+        await scenario(cell)
     finally:
         await cell.close()
     return cell
 
 
 def test_http_refusals_name_the_field_and_run_nothing(snapshot: Any) -> None:
-    seen = []
+    observed = []
 
-    async def call(cell: Cell) -> None:
+    async def scenario(cell: Cell) -> None:
         client = httpclient.AsyncHTTPClient()
-        for method, path, body, headers in BAD_CALLS:
+        for method, path, body, headers in INVALID_CALLS:
             encoded = body if isinstance(body, bytes | None) else json.dumps(body).encode()
             headers = {"X-Request-Id": "t", **headers}
             response = await client.fetch(
@@ -162,17 +162,19 @@
             answer = json.loads(response.body)
             verdict = response.headers["Sablemount-Verdict"]
             detail = answer["detail"]
-            seen.append(f"{method} {path}: {response.code} {verdict} {answer['reason']} {detail}")
+            observed.append(
+                f"{method} {path}: {response.code} {verdict} {answer['reason']} {detail}"
+            )
 
-    cell = asyncio.run(with_cell(call))
-    assert "\n".join(seen) == snapshot
-    assert all(" NOT_RUN " in line for line in seen)
+    cell = asyncio.run(run_in_cell(scenario))
+    assert "\n".join(observed) == snapshot
+    assert all(" NOT_RUN " in line for line in observed)
     assert cell.truth.starts.total() == 0
     assert cell.truth.executed.total() == 0
 
 
 def test_an_oversized_body_is_refused() -> None:
-    async def call(cell: Cell) -> None:
+    async def scenario(cell: Cell) -> None:
         response = await httpclient.AsyncHTTPClient().fetch(
             f"http://{cell.nodes[0].address}/v1/requests/rueda/quote",
             method="POST",
@@ -181,13 +183,13 @@
         )
         assert response.code in (400, 413, 599)
 
-    assert asyncio.run(with_cell(call)).truth.executed.total() == 0
+    assert asyncio.run(run_in_cell(scenario)).truth.executed.total() == 0
 
 
 # -- The command line ------------------------------------------------------------------------
 
 
-def cli_calls(folder: Path) -> Iterator[list[str]]:
+def invalid_command_lines(folder: Path) -> Iterator[list[str]]:
     (folder / "bad.json").write_text('{"type": "template", "organisation": "Rueda"}')
     (folder / "torn.json").write_text("{")
     yield ["template", "publish", str(folder / "none.json")]
@@ -200,16 +202,18 @@
 
 
 def test_command_line_errors_have_codes_and_no_traceback(tmp_path: Path, snapshot: Any) -> None:
-    seen = []
-    for arguments in cli_calls(tmp_path):
+    observed = []
+    for arguments in invalid_command_lines(tmp_path):
         result = CliRunner().invoke(app, arguments, env={"COLUMNS": "100", "TERM": "dumb"})
         text = result.output.replace(str(tmp_path), "")
-        first = [line for line in text.splitlines() if line.strip(" ─╭╮╰╯│")]
-        shown = first[-1].strip(" │")
+        text_lines = [line for line in text.splitlines() if line.strip(" ─╭╮╰╯│")]
+        shown = text_lines[-1].strip(" │")
         shown = re.sub(r"\[Errno \d+\] ", "", shown)
-        seen.append(f"{' '.join(arguments).replace(str(tmp_path), '')}: {result.exit_code} {shown}")
+        observed.append(
+            f"{' '.join(arguments).replace(str(tmp_path), '')}: {result.exit_code} {shown}"
+        )
         assert result.exception is None or isinstance(result.exception, SystemExit)
-    assert "\n".join(seen) == snapshot
+    assert "\n".join(observed) == snapshot
 
 
 def test_the_command_line_works_a_cell(tmp_path: Path) -> None:
@@ -217,7 +221,7 @@
         msgspec.json.encode(msgspec.structs.replace(LONG, expected_seconds=0.5))
     )
 
-    async def call(cell: Cell) -> None:
+    async def scenario(cell: Cell) -> None:
         address = cell.nodes[0].address
 
         async def run(*arguments: str) -> Any:
@@ -247,4 +251,4 @@
         assert (await run("report", "burn", "--html", str(page))).exit_code == 0
         assert "rueda" in page.read_text()
 
-    asyncio.run(with_cell(call))
+    asyncio.run(run_in_cell(scenario))
--- a/tests/test_boottime.py
+++ b/tests/test_boottime.py
@@ -1,7 +1,8 @@
-"""While a machine is suspended its steady clock stands still, and the world goes on.
+"""Ages and deadlines include the time for which a machine was suspended.
 
-A leader that woke after some seconds took the store's last word for as fresh as before, and gave
-orders though another one led. No clock that the product read counted suspended time.
+The usual monotonic clock stops during a suspension. A leader on such a clock took the store's last
+confirmation for as recent as before its suspension of some seconds, and sent orders to VMs although
+another member had become leader.
 """
 
 import asyncio
@@ -16,43 +17,47 @@
 from sablemount.control.clock import monotonic
 
 SOURCE = Path(__file__).parents[1] / "src" / "sablemount"
-STANDS_STILL = re.compile(r"time\.monotonic|time\.perf_counter|CLOCK_MONOTONIC|asyncio\.run\(")
-SUSPENDED = 4.0
+SUSPENDABLE_CLOCKS = re.compile(
+    r"time\.monotonic|time\.perf_counter|CLOCK_MONOTONIC|asyncio\.run\("
+)
+SUSPENSION_S = 4.0
 
 
-class _Machine:
-    """A machine's clocks, of which one counts the time for which it was suspended."""
+class _FakeClocks:
+    """Simulates a suspension of ``suspended_s`` seconds, which only the boot-time clock counts."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self._real = time.clock_gettime
-        self.suspended = 0.0
-        monkeypatch.setattr(time, "clock_gettime", self._clock)
+        self._real_clock_gettime = time.clock_gettime
+        self.suspended_s = 0.0
+        monkeypatch.setattr(time, "clock_gettime", self._clock_gettime)
 
-    def _clock(self, clock: int) -> float:
-        counted = self.suspended if clock == time.CLOCK_BOOTTIME else 0.0
-        return self._real(clock) + counted
+    def _clock_gettime(self, clock_id: int) -> float:
+        offset = self.suspended_s if clock_id == time.CLOCK_BOOTTIME else 0.0
+        return self._real_clock_gettime(clock_id) + offset
 
 
 def test_the_product_reads_no_clock_that_stands_still() -> None:
-    found = [str(path) for path in SOURCE.rglob("*.py") if STANDS_STILL.search(path.read_text())]
-    assert found == []
+    files = [
+        str(path) for path in SOURCE.rglob("*.py") if SUSPENDABLE_CLOCKS.search(path.read_text())
+    ]
+    assert files == []
 
 
 def test_suspended_time_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    machine = _Machine(monkeypatch)
+    clocks = _FakeClocks(monkeypatch)
     before = boottime.monotonic()
-    machine.suspended = SUSPENDED
-    assert boottime.monotonic() - before >= SUSPENDED
+    clocks.suspended_s = SUSPENSION_S
+    assert boottime.monotonic() - before >= SUSPENSION_S
 
 
 def test_a_time_out_counts_suspended_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    machine = _Machine(monkeypatch)
+    clocks = _FakeClocks(monkeypatch)
 
     async def scenario() -> bool:
         try:
-            async with asyncio.timeout(SUSPENDED):
-                machine.suspended = SUSPENDED
-                # Any event wakes the loop; this one is a timer that is due soon.
+            async with asyncio.timeout(SUSPENSION_S):
+                clocks.suspended_s = SUSPENSION_S
+                # The loop checks its timers on any event; here a timer that expires soon.
                 await asyncio.sleep(0.001)
                 await asyncio.sleep(0.05)
         except TimeoutError:
@@ -65,16 +70,16 @@
 def test_a_leader_whose_machine_was_suspended_gives_no_order(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    machine = _Machine(monkeypatch)
+    clocks = _FakeClocks(monkeypatch)
 
     async def scenario() -> tuple[bool, bool]:
         confirmed_at = monotonic()
-        asked = []
-        authority = Authority(lambda: confirmed_at, lambda: False, lambda: asked.append(1))
+        store_queries = []
+        authority = Authority(lambda: confirmed_at, lambda: False, lambda: store_queries.append(1))
         before = authority.holds()
-        machine.suspended = AUTHORITY_TIME + 0.1
+        clocks.suspended_s = AUTHORITY_TIME + 0.1
         after = authority.holds()
-        assert asked
+        assert store_queries
         return before, after
 
     assert boottime.run(scenario()) == (True, False)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures is read strictly, and names tests that are there."""
+"""The list of known failures is parsed strictly and names only tests that exist."""
 
 import subprocess
 import sys
@@ -17,7 +17,7 @@
 
 def test_a_test_that_fails_at_times_is_marked_so() -> None:
     (entry,) = parse(f"sometimes {LINE}")
-    assert entry.sometimes
+    assert entry.flaky
     assert entry.test == "tests/test_a.py::test_b"
 
 
@@ -37,10 +37,12 @@
         parse(line)
 
 
-@pytest.mark.parametrize("again", [LINE, f"sometimes {LINE}", LINE.replace("it hangs", "other")])
-def test_a_test_that_is_listed_twice_is_refused(again: str) -> None:
+@pytest.mark.parametrize(
+    "duplicate", [LINE, f"sometimes {LINE}", LINE.replace("it hangs", "other")]
+)
+def test_a_test_that_is_listed_twice_is_refused(duplicate: str) -> None:
     with pytest.raises(ListError, match="twice"):
-        parse(f"{LINE}\n{again}")
+        parse(f"{LINE}\n{duplicate}")
 
 
 def test_an_entry_stands_for_its_test_only_with_any_parameters() -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""One case of each flow over real sockets, with daemons that are killed, frozen and stopped."""
+"""One case of each flow over real sockets, with daemon processes that are killed or suspended."""
 
 import asyncio
 import contextlib
@@ -16,15 +16,15 @@
 from tests.documents import ALL, LONG
 from tests.fakes.log import LogMode
 
-CORE = CoreSettings(shards=3, evict_after=4.0, promise=5.0)
+CORE_SETTINGS = CoreSettings(shards=3, evict_after=4.0, promise=5.0)
 Scenario = Callable[[DaemonCell], Awaitable[None]]
 
 
-def play(tmp_path: Path, scenario: Scenario, **options: Any) -> DaemonCell:
-    """Run a scenario against three daemons and check the invariants."""
+def run_scenario(tmp_path: Path, scenario: Scenario, **options: Any) -> DaemonCell:
+    """Run a scenario against a cell of daemons and check the invariants."""
 
     async def run() -> DaemonCell:
-        cell = DaemonCell(tmp_path, core=CORE, **options)
+        cell = DaemonCell(tmp_path, core=CORE_SETTINGS, **options)
         try:
             await cell.start_all()
             await cell.publish(ALL)
@@ -38,7 +38,7 @@
     return cell
 
 
-async def quote(
+async def post_request(
     cell: DaemonCell, name: str, body: bytes, path: str = "rueda/quote", **headers: str
 ) -> httpclient.HTTPResponse:
     return await cell.client.fetch(
@@ -50,7 +50,7 @@
     )
 
 
-async def ended(cell: DaemonCell, name: str, job: str, count: int) -> bool:
+async def job_ended(cell: DaemonCell, name: str, job: str, count: int) -> bool:
     rows = await cell.call(name, "GET", f"/v1/tasks?job={job}")
     return rows is not None and sum(bool(row["verdict"]) for row in rows) == count
 
@@ -60,12 +60,12 @@
         body = {"template": "rueda/plan", "job": "plans", "count": 9}
         assert (await cell.call("s0", "POST", "/v1/jobs", body))["count"] == 9
         cell.signal("s0", signal.SIGKILL)
-        await wait_until(lambda: ended(cell, "s1", "plans", 9), 60.0)
-        await wait_until(lambda: ended(cell, "s2", "plans", 9))
+        await wait_until(lambda: job_ended(cell, "s1", "plans", 9), 60.0)
+        await wait_until(lambda: job_ended(cell, "s2", "plans", 9))
         rows = await cell.call("s2", "GET", "/v1/tasks?job=plans")
         assert {row["verdict"] for row in rows} == {"DONE"}
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_frozen_scheduler_wakes_without_harm(tmp_path: Path) -> None:
@@ -76,22 +76,22 @@
         cell.signal("s0", signal.SIGSTOP)
         await asyncio.sleep(6.0)
         cell.signal("s0", signal.SIGCONT)
-        await wait_until(lambda: ended(cell, "s1", "wides", 9), 60.0)
+        await wait_until(lambda: job_ended(cell, "s1", "wides", 9), 60.0)
         await wait_until(cell.settled)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_planned_stop_cuts_nothing_off(tmp_path: Path) -> None:
     async def scenario(cell: DaemonCell) -> None:
-        calls = [quote(cell, "s0", b"%d" % index) for index in range(20)]
+        calls = [post_request(cell, "s0", b"%d" % index) for index in range(20)]
         pending = [asyncio.ensure_future(call) for call in calls]
 
-        async def begun() -> bool:
+        async def all_started() -> bool:
             return sum(len(server.worker.requests) for server in cell.workers) == len(calls)
 
-        # One that comes after the signal may be refused, which is no cut.
-        await wait_until(begun)
+        # A request that arrives after the signal may be refused, which cuts nothing off.
+        await wait_until(all_started)
         cell.signal("s0", signal.SIGTERM)
         answers = await asyncio.gather(*pending)
         assert [answer.body for answer in answers] == [
@@ -100,18 +100,18 @@
         assert await cell.wait_stopped("s0") == 0
         await wait_until(cell.settled)
 
-        async def gone() -> bool:
+        async def member_removed() -> bool:
             members = await cell.call("s1", "GET", "/v1/members")
             return [row["name"] for row in members] == ["s1", "s2"]
 
-        await wait_until(gone)
+        await wait_until(member_removed)
 
-    play(tmp_path, scenario, service_time=1.0)
+    run_scenario(tmp_path, scenario, service_time=1.0)
 
 
 def test_a_second_signal_ends_at_once_and_says_so(tmp_path: Path) -> None:
     async def scenario(cell: DaemonCell) -> None:
-        pending = asyncio.ensure_future(quote(cell, "s0", b"slow"))
+        pending = asyncio.ensure_future(post_request(cell, "s0", b"slow"))
         await asyncio.sleep(0.2)
         cell.signal("s0", signal.SIGTERM)
         await asyncio.sleep(0.2)
@@ -120,32 +120,32 @@
         assert answer.headers["Sablemount-Verdict"] == "MAY_HAVE_RUN"
         assert await cell.wait_stopped("s0") == 75
 
-    play(tmp_path, scenario, service_time=3.0)
+    run_scenario(tmp_path, scenario, service_time=3.0)
 
 
 def test_an_answer_cut_short_reaches_no_caller(tmp_path: Path) -> None:
     async def scenario(cell: DaemonCell) -> None:
         for server in cell.workers:
             server.cut_short = True
-        answer = await quote(cell, "s0", b"x", **{"Deadline-Ms": "2000"})
+        answer = await post_request(cell, "s0", b"x", **{"Deadline-Ms": "2000"})
         assert answer.code == 502
         assert answer.headers["Sablemount-Verdict"] == "MAY_HAVE_RUN"
         assert b"part" not in answer.body
         key = {"Idempotency-Key": "1.x"}
-        late = await quote(cell, "s0", b"x", "yard/stock", **key)
+        late = await post_request(cell, "s0", b"x", "yard/stock", **key)
         assert late.headers["Sablemount-Verdict"] == "NOT_RUN"
         for server in cell.workers:
             server.cut_short = False
-        assert (await quote(cell, "s0", b"y")).body == b"quote for y"
+        assert (await post_request(cell, "s0", b"y")).body == b"quote for y"
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_quotes_go_on_and_a_new_scheduler_starts_in_a_log_outage(tmp_path: Path) -> None:
     async def scenario(cell: DaemonCell) -> None:
         cell.platform.log.mode = LogMode.DOWN
         await asyncio.sleep(4.0)
-        answers = [await quote(cell, f"s{index % 3}", b"q") for index in range(12)]
+        answers = [await post_request(cell, f"s{index % 3}", b"q") for index in range(12)]
         assert {answer.code for answer in answers} == {200}
         body = {"template": "rueda/plan", "job": "late", "deadline_seconds": 1.0}
         refused = await cell.call("s0", "POST", "/v1/jobs", body)
@@ -154,31 +154,31 @@
         await cell.wait_stopped("s2")
         cell.start("s2")
 
-        async def configured() -> bool:
+        async def documents_loaded() -> bool:
             documents = await cell.call("s2", "GET", "/v1/documents", timeout=1.0)
             return documents is not None and len(documents) == len(ALL)
 
-        await wait_until(configured)
+        await wait_until(documents_loaded)
         cell.platform.log.mode = LogMode.UP
         await wait_until(cell.settled, 60.0)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_key_is_spent_although_its_first_scheduler_was_killed(tmp_path: Path) -> None:
     async def scenario(cell: DaemonCell) -> None:
         key = {"Idempotency-Key": f"{int(time.time())}.transfer-7"}
-        first = asyncio.ensure_future(quote(cell, "s0", b"t", "yard/stock", **key))
+        first = asyncio.ensure_future(post_request(cell, "s0", b"t", "yard/stock", **key))
         await asyncio.sleep(1.0)
         cell.signal("s0", signal.SIGKILL)
         with contextlib.suppress(OSError, httpclient.HTTPError):
             await first
-        again = await quote(cell, "s1", b"t", "yard/stock", **key)
-        assert again.headers["Sablemount-Verdict"] == "MAY_HAVE_RUN"
-        assert again.code == 409
+        repeated = await post_request(cell, "s1", b"t", "yard/stock", **key)
+        assert repeated.headers["Sablemount-Verdict"] == "MAY_HAVE_RUN"
+        assert repeated.code == 409
         assert cell.truth.executed.total() == 1
 
-    play(tmp_path, scenario, service_time=2.0)
+    run_scenario(tmp_path, scenario, service_time=2.0)
 
 
 def test_a_publication_outlives_its_scheduler_and_beats_its_rival(tmp_path: Path) -> None:
@@ -198,16 +198,16 @@
         await cell.wait_stopped("s0")
         cell.start("s0")
 
-        async def in_force() -> bool:
+        async def revision_published() -> bool:
             shown = [
                 await cell.call(name, "GET", "/v1/documents/rueda/long", timeout=1.0)
                 for name in cell.names
             ]
             return all(row is not None and row.get("revision") == 2 for row in shown)
 
-        await wait_until(in_force)
+        await wait_until(revision_published)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_drain_outlives_the_owner(tmp_path: Path) -> None:
@@ -223,9 +223,9 @@
         cell.signal(target["owner"], signal.SIGKILL)
         body = {"template": "rueda/plan", "job": "plans", "count": 12}
         assert (await cell.call(other, "POST", "/v1/jobs", body))["count"] == 12
-        await wait_until(lambda: ended(cell, other, "plans", 12), 60.0)
+        await wait_until(lambda: job_ended(cell, other, "plans", 12), 60.0)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_urgent_work_starts_while_another_owner_is_frozen(tmp_path: Path) -> None:
@@ -236,8 +236,8 @@
         cell.signal("s2", signal.SIGSTOP)
         urgent = {"template": "rueda/rush", "job": "rush"}
         assert (await cell.call("s0", "POST", "/v1/jobs", urgent))["job"] == "rush"
-        await wait_until(lambda: ended(cell, "s0", "rush", 1), 30.0)
+        await wait_until(lambda: job_ended(cell, "s0", "rush", 1), 30.0)
         cell.signal("s2", signal.SIGCONT)
-        await wait_until(lambda: ended(cell, "s0", "wides", 6), 60.0)
+        await wait_until(lambda: job_ended(cell, "s0", "wides", 6), 60.0)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
--- a/tests/test_whole_reports.py
+++ b/tests/test_whole_reports.py
@@ -1,9 +1,9 @@
-"""A failing test is reported, and the run goes on, whatever finalizers run meanwhile.
+"""Finalizers that run while a failing test is reported must not end the test run.
 
-The report of a failing test parses its source. Where the garbage collector ran at that moment, and
-a finalizer logged a traceback, which parses too, the parser of CPython 3.11 failed: "AST
-constructor recursion depth mismatch (before=129, after=180)". The run ended there, after 476 of
-1,150 tests, though only a test had failed that was known to.
+The report of a failing test parses its source. If the garbage collector runs at that moment and a
+finalizer logs a traceback, which parses source too, the parser of CPython 3.11 fails with "AST
+constructor recursion depth mismatch (before=129, after=180)", and pytest ends the run: once after
+476 of 1,150 tests, in which only a test had failed that was expected to.
 """
 
 import os
@@ -12,10 +12,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-TIMEOUT = 60.0
-"""Seconds."""
+TIMEOUT_S = 60.0
 CONFTEST = "from tests.whole_reports import pytest_runtest_makereport\n"
-FAILING = """
+TEST_MODULE = """
 import ast
 import gc
 
@@ -50,11 +49,11 @@
 
 def test_a_test_that_fails_beside_busy_finalizers_ends_no_run(tmp_path: Path) -> None:
     (tmp_path / "conftest.py").write_text(CONFTEST)
-    (tmp_path / "test_noisy.py").write_text(FAILING)
+    (tmp_path / "test_noisy.py").write_text(TEST_MODULE)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", str(tmp_path)]
     environment = {**os.environ, "PYTHONPATH": str(ROOT)}
-    done = subprocess.run(
-        command, cwd=tmp_path, env=environment, capture_output=True, text=True, timeout=TIMEOUT
+    completed = subprocess.run(
+        command, cwd=tmp_path, env=environment, capture_output=True, text=True, timeout=TIMEOUT_S
     )
-    assert "INTERNALERROR" not in done.stdout
-    assert "1 failed, 1 passed" in done.stdout
+    assert "INTERNALERROR" not in completed.stdout
+    assert "1 failed, 1 passed" in completed.stdout
--- a/tests/whole_reports.py
+++ b/tests/whole_reports.py
@@ -1,7 +1,8 @@
-"""Keeps finalizers out of the making of reports.
+"""A pytest hook that disables garbage collection while a test report is created.
 
-A report parses the test's source, and the parser of CPython 3.11 fails for good if a finalizer
-that the garbage collector runs meanwhile parses too, as each logged traceback does.
+A report parses the source of the test. In CPython 3.11, the parser fails from then on if a
+finalizer that the garbage collector runs meanwhile also parses source, which each logged traceback
+does.
 """
 
 import gc
@@ -14,11 +15,11 @@
 
 @pytest.hookimpl(wrapper=True, tryfirst=True)
 def pytest_runtest_makereport() -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Collect no garbage while a report is made."""
-    collecting = gc.isenabled()
+    """Create the report with garbage collection disabled."""
+    was_enabled = gc.isenabled()
     gc.disable()
     try:
         return (yield)
     finally:
-        if collecting:
+        if was_enabled:
             gc.enable()
