--- a/src/sablemount/report.py
+++ b/src/sablemount/report.py
@@ -1,7 +1,8 @@
 """Burn rates of service-level objectives: how fast each template uses up its error budget.
 
 Every scheduler keeps a history, in steps of one minute, of the starts within and beyond the
-objective and of the failures by class. The report adds up the counts of all schedulers that answer.
+objective and of the failures by class. The report adds up the counts of the schedulers that answer,
+and names those that are missing.
 """
 
 from collections import Counter, deque
@@ -63,7 +64,7 @@
 
 
 class BurnRow(msgspec.Struct, frozen=True):
-    """One line of the report; a burn rate of 1 uses up the error budget exactly."""
+    """One line of the report; at a burn rate of 1 the error budget lasts exactly for the period."""
 
     organisation: str
     template: str
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""One case of each flow over real sockets, with daemon processes that are killed or suspended."""
+"""One case of each flow over real sockets, with daemons that are killed, suspended and stopped."""
 
 import asyncio
 import contextlib
