--- a/src/sablemount/runtime.py
+++ b/src/sablemount/runtime.py
@@ -67,7 +67,7 @@
         self.workers: WorkerPort = HttpWorkers(self._pool, self.meter, core.worker_timeout)
         addresses = {peer.name: peer.address for peer in settings.peers}
         addresses.pop(settings.name, None)
-        self.links = PeerLinks(addresses, self.meter)
+        self.peer_links = PeerLinks(addresses, self.meter)
         self.peer_server = PeerServer(self._on_peer_message, self.serve)
         self.peer_port = 0
         self.stopped = asyncio.Event()
@@ -94,7 +94,7 @@
         for task in self._tasks:
             task.cancel()
         await self.peer_server.stop(PEER_STOP_GRACE_S)
-        await self.links.close()
+        await self.peer_links.close()
         self._pool.close()
         unanswered = Failure(Verdict.MAY_HAVE_RUN, Reason.STOPPING, "the scheduler stopped")
         for answer in list(self._answer_callbacks.values()):
@@ -187,11 +187,11 @@
 
     @_perform.register
     def _(self, action: actions.Forward) -> None:
-        self._spawn(self._dispatch_result(self.links.forward(action)))
+        self._spawn(self._dispatch_result(self.peer_links.forward(action)))
 
     @_perform.register
     def _(self, action: actions.SendPeer) -> None:
-        self._spawn(self.links.send(action))
+        self._spawn(self.peer_links.send(action))
 
     @_perform.register
     def _(self, action: actions.AnswerRequest) -> None:
