--- a/src/sablemount/adapters/caller_server.py
+++ b/src/sablemount/adapters/caller_server.py
@@ -1,7 +1,7 @@
-"""An HTTP server whose bounds of a request may change while it runs.
+"""An HTTP server whose request limits can change while it runs.
 
-tornado bounds headers and bodies by itself, but answers what is too large with 400 or not at all,
-and counts the time of the headers together with the time that a connection idles before them.
+tornado limits headers and bodies itself, but answers oversized ones with 400 or not at all, and
+its header timeout includes the time for which the connection was idle before the headers.
 """
 
 from collections.abc import Awaitable, Callable
@@ -18,69 +18,71 @@
 DEFAULT_LIMITS = RequestLimits(
     header_bytes=16 * 1024, body_bytes=256 * 1024, header_seconds=5.0, idle_seconds=30.0
 )
-"""Bounds in force where the configuration gives none. A body of 256 KB is 60 times the longest
-payload, for jobs of many steps."""
-MOST_HEADERS = 64 * 1024
-"""Bytes of headers beyond the bound that are read to be answered; more end the connection."""
+"""Limits where the configuration gives none. A body of 256 KiB is 60 times the longest payload,
+which leaves space for jobs of many steps."""
+MAX_EXCESS_HEADER_BYTES = 64 * 1024
+"""Bytes of headers beyond the limit that are still read, so that the request can be answered with
+an error; with more, the connection is closed."""
 BODY_SECONDS = 10.0
-"""Seconds in which a request's body has to be there: a connection that falls silent in the midst
-of one would be held for good."""
-MOST_BODY = 64 * 1024 * 1024
-"""Bytes of a body that a configuration may allow at most, a third of a small process's memory."""
-FIELD_BYTES = 4
-"""Bytes of a header's line beside its name and value."""
+"""Seconds within which a request's body has to arrive. Without this limit, a client that stops
+sending in the middle of a body would occupy its connection forever."""
+MAX_BODY_LIMIT_BYTES = 64 * 1024 * 1024
+"""Largest body limit that a configuration may set: a third of a small process's memory."""
+HEADER_LINE_OVERHEAD_BYTES = 4
+"""Bytes of a header line besides its name and value: ``": "`` and the line end."""
 
-Refuse = Callable[[httputil.HTTPConnection, HTTPStatus, str], None]
-"""Answers a request that is not read any further."""
+RefusalWriter = Callable[[httputil.HTTPConnection, HTTPStatus, str], None]
+"""Writes the error response to a request of which no more is read."""
 
 
 class CallerServer(EndingServer):
-    """Serves callers; ``refuse`` writes the answer to a request that is over a bound.
+    """Serves callers; ``refuse`` writes the response to a request that exceeds a limit.
 
-    Make it with ``body_timeout=BODY_SECONDS``; the other bounds are set here.
+    Create it with ``body_timeout=BODY_TIMEOUT_S``; ``set_limits`` sets all other limits.
     """
 
     limits: RequestLimits
-    refuse: Refuse
+    refuse: RefusalWriter
 
     def set_limits(self, limits: RequestLimits) -> None:
-        """Put bounds in force, for open connections from their next request on."""
-        given = DEFAULT_LIMITS
+        """Apply limits, to open connections from their next request."""
+        defaults = DEFAULT_LIMITS
         self.limits = RequestLimits(
-            limits.header_bytes or given.header_bytes,
-            min(limits.body_bytes or given.body_bytes, MOST_BODY),
-            limits.header_seconds or given.header_seconds,
-            limits.idle_seconds or given.idle_seconds,
+            limits.header_bytes or defaults.header_bytes,
+            min(limits.body_bytes or defaults.body_bytes, MAX_BODY_LIMIT_BYTES),
+            limits.header_seconds or defaults.header_seconds,
+            limits.idle_seconds or defaults.idle_seconds,
         )
-        # The bounds of tornado's own stay beyond these, and hold for what is not answered.
-        self.conn_params.max_header_size = self.limits.header_bytes + MOST_HEADERS
+        # tornado's own limits are higher: they only end connections that are too far over the limit
+        # to be answered.
+        self.conn_params.max_header_size = self.limits.header_bytes + MAX_EXCESS_HEADER_BYTES
         self.conn_params.max_body_size = self.limits.body_bytes + 1
         self.conn_params.header_timeout = self.limits.idle_seconds + self.limits.header_seconds
 
     def handle_stream(self, stream: iostream.IOStream, address: tuple[str, int]) -> None:
-        """Serve a connection; one whose answers nobody acknowledges is given up."""
+        """Serve a connection; it is closed if the peer stops acknowledging responses."""
         set_user_timeout(stream)
         super().handle_stream(stream, address)
 
     @property
     def idle_seconds(self) -> float:
-        """Return for how long a connection may idle."""
+        """Return how long a connection may be idle."""
         return self.limits.idle_seconds
 
     @property
     def header_seconds(self) -> float:
-        """Return how long a request's headers may take from their first byte on."""
+        """Return how long a request's headers may take from their first byte."""
         return self.limits.header_seconds
 
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
-        """Return what takes the next request of a connection."""
-        return _Bounded(super().start_request(server_conn, request_conn), request_conn, self)
+        """Return the delegate for the next request of a connection."""
+        return _LimitedRequest(super().start_request(server_conn, request_conn), request_conn, self)
 
 
-class _Bounded(httputil.HTTPMessageDelegate):
-    """Takes one request, as far as it keeps to the bounds."""
+class _LimitedRequest(httputil.HTTPMessageDelegate):
+    """Passes on one request and refuses it as soon as it exceeds a limit."""
 
     def __init__(
         self,
@@ -91,7 +93,7 @@
         self._inner = inner
         self._connection = connection
         self._server = server
-        self._left = server.limits.body_bytes
+        self._body_bytes_left = server.limits.body_bytes
         self._refused = False
 
     def headers_received(
@@ -99,34 +101,36 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
-        """Take the headers, and refuse by what they say of the body."""
-        size = sum(len(name) + len(value) + FIELD_BYTES for name, value in headers.get_all())
+        """Pass on the headers; refuse if they or the declared body are too large."""
+        size = sum(
+            len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES for name, value in headers.get_all()
+        )
         if size > self._server.limits.header_bytes:
             self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "headers too large")
             return None
         length = headers.get("Content-Length", "")
-        if length.isdecimal() and int(length) > self._left:
+        if length.isdecimal() and int(length) > self._body_bytes_left:
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
             return None
         return self._inner.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Take a part of the body; a chunked one has not told its length."""
+        """Pass on a part of the body; a chunked body has no declared length to check."""
         if self._refused:
             return None
-        self._left -= len(chunk)
-        if self._left < 0:
+        self._body_bytes_left -= len(chunk)
+        if self._body_bytes_left < 0:
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
             return None
         return self._inner.data_received(chunk)
 
     def finish(self) -> None:
-        """Take the end of the request."""
+        """Pass on the end of the request."""
         if not self._refused:
             self._inner.finish()
 
     def on_connection_close(self) -> None:
-        """Take that the connection has ended before the request."""
+        """Pass on that the connection closed before the end of the request."""
         self._inner.on_connection_close()
 
     def _refuse(self, status: HTTPStatus, reason: str) -> None:
--- a/src/sablemount/adapters/ending_server.py
+++ b/src/sablemount/adapters/ending_server.py
@@ -1,10 +1,10 @@
-"""An HTTP server that can end without cutting a call off.
+"""An HTTP server that can shut down without leaving a call unanswered.
 
-A connection that idles tells its caller nothing of an end to come, and a call may be on its way
-over it as it is closed. Such a connection is sent a final answer first, which says that nothing is
-taken, and is closed in the direction of the caller only: a call that crosses the end has an answer,
-and one who has no call on its way sees that the connection is over. What still comes is read and
-never served.
+HTTP/1.1 has no way to announce that an idle connection is about to be closed, so a client may send
+a request while the server closes it. The server therefore first writes a final response, which
+says that no request is accepted, and then closes only its own direction of the connection. A
+request that was already on its way gets this response, and a client without one sees the end of the
+stream. Whatever still arrives is read and discarded.
 """
 
 import asyncio
@@ -18,21 +18,21 @@
 
 __all__ = ["EndingServer", "final_answer"]
 
-REST = 64 * 1024
-"""Bytes of what still comes that are read at once."""
-RETRY_AFTER = 1
-"""Seconds after which whoever meets the end of a server may call again, another one best."""
+DISCARD_CHUNK_BYTES = 64 * 1024
+"""Bytes read at a time from a connection whose input is discarded."""
+RETRY_AFTER_S = 1
+"""Seconds after which a client may retry, preferably at another server."""
 
 _logger = logging.getLogger("sablemount.adapters.ending_server")
 
 
 def final_answer(body: bytes, headers: Mapping[str, str] | None = None) -> bytes:
-    """Return the whole answer, with a JSON body, that nothing is taken any more."""
+    """Return the complete response, with a JSON body, that refuses all further requests."""
     status = HTTPStatus.SERVICE_UNAVAILABLE
     lines = (
         f"HTTP/1.1 {status.value} {status.phrase}",
         "Content-Type: application/json",
-        f"Retry-After: {RETRY_AFTER}",
+        f"Retry-After: {RETRY_AFTER_S}",
         "Connection: close",
         f"Content-Length: {len(body)}",
         *(f"{name}: {value}" for name, value in (headers or {}).items()),
@@ -41,49 +41,49 @@
 
 
 class EndingServer(HTTPServer):
-    """Serves HTTP until it is ended."""
+    """Serves HTTP and answers every connection before it closes it on shutdown."""
 
     def initialize(self, *args: object, **options: object) -> None:
-        """Take what tornado's server takes, and ``final``, the last answer of each connection."""
+        """Accept the options of tornado's server and ``final``, each connection's last response."""
         final = options.pop("final", None)
         self._final = final if isinstance(final, bytes) else final_answer(b"{}")
         super().initialize(*args, **options)  # type: ignore[arg-type]
         self._ending = False
         self._idle: set[iostream.IOStream] = set()
-        """Connections of which no byte of a next request was read."""
+        """Connections of whose next request no byte has been read."""
         self._partial: set[iostream.IOStream] = set()
-        """Connections of which a part of a request was read."""
-        self._left: set[iostream.IOStream] = set()
-        """Connections that have their final answer."""
+        """Connections of whose current request only a part has been read."""
+        self._finalized: set[iostream.IOStream] = set()
+        """Connections to which the final response has been written."""
 
     @property
     def open_connections(self) -> int:
-        """Return how many connections have not ended on both sides."""
+        """Return the number of connections that are not closed in both directions."""
         return len(self._connections)
 
-    # -- Bounds of a request, which a subclass may have --------------------------------------
+    # -- Time limits of a request, which a subclass may set ----------------------------------
 
     @property
     def idle_seconds(self) -> float | None:
-        """Return for how long a connection may idle; ``None`` for any time."""
+        """Return how long a connection may be idle; ``None`` for no limit."""
         return None
 
     @property
     def header_seconds(self) -> float | None:
-        """Return how long a request's headers may take from their first byte on."""
+        """Return how long headers may take from their first byte; ``None`` for no limit."""
         return None
 
     # -- Connections -------------------------------------------------------------------------
 
     def handle_stream(self, stream: iostream.IOStream, address: tuple[str, int]) -> None:
-        """Serve a connection."""
+        """Serve a connection, with the time limits of idle connections and headers."""
         read = stream.read_until_regex
 
         def read_headers(regex: bytes, max_bytes: int | None = None) -> Awaitable[bytes]:
             reading = asyncio.ensure_future(
                 self._read_headers(stream, lambda: read(regex, max_bytes))
             )
-            reading.add_done_callback(_ended)
+            reading.add_done_callback(_log_failed_read)
             return reading
 
         stream.read_until_regex = read_headers  # type: ignore[method-assign]
@@ -92,25 +92,25 @@
     async def _read_headers(
         self, stream: iostream.IOStream, read: Callable[[], Awaitable[bytes]]
     ) -> bytes:
-        """Wait for a request for as long as a connection may idle, and then for its headers."""
+        """Wait for a request for as long as the connection may be idle, then read its headers."""
         self._idle.add(stream)
         if self._ending:
-            self._leave(stream)
+            self._send_final(stream)
         try:
             async with asyncio.timeout(self.idle_seconds):
                 first = await stream.read_bytes(1)
-            self._began(stream)
+            self._mark_begun(stream)
             async with asyncio.timeout(self.header_seconds):
                 headers = first + await read()
         except TimeoutError as error:
             stream.close()
             raise iostream.StreamClosedError() from error
-        while stream in self._left:
-            await stream.read_bytes(REST, partial=True)
+        while stream in self._finalized:
+            await stream.read_bytes(DISCARD_CHUNK_BYTES, partial=True)
         return headers
 
-    def _began(self, stream: iostream.IOStream) -> None:
-        """Take the first byte of a request."""
+    def _mark_begun(self, stream: iostream.IOStream) -> None:
+        """Record that the first byte of a request has arrived."""
         if stream in self._idle:
             self._idle.remove(stream)
             self._partial.add(stream)
@@ -118,75 +118,79 @@
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
-        """Return what takes the next request of a connection."""
-        return _Whole(super().start_request(server_conn, request_conn), request_conn, self)
+        """Return the delegate for the next request of a connection."""
+        return _CompleteRequests(
+            super().start_request(server_conn, request_conn), request_conn, self
+        )
 
     def settled(self, connection: httputil.HTTPConnection) -> bool:
-        """Take that a request is whole, or refused; return whether it may still be answered."""
+        """Record that a request is complete or refused; return whether it may still be answered."""
         stream = connection.stream  # type: ignore[attr-defined]
         self._partial.discard(stream)
-        return stream not in self._left
+        return stream not in self._finalized
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         super().on_close(server_conn)
         stream = server_conn.stream  # type: ignore[attr-defined]
-        for streams in (self._idle, self._partial, self._left):
+        for streams in (self._idle, self._partial, self._finalized):
             streams.discard(stream)
 
-    # -- The end -----------------------------------------------------------------------------
+    # -- Shutdown ----------------------------------------------------------------------------
 
     def leave_idle(self) -> int:
-        """End the connections on which no request has begun; return how many.
+        """Send the final response on idle connections and return their number.
 
-        From now on connections end before their next request, and new ones before their first.
+        From now on a connection gets the final response instead of serving its next request, and
+        a new connection instead of serving its first.
         """
         self._ending = True
         idle = list(self._idle)
         for stream in idle:
-            self._leave(stream)
+            self._send_final(stream)
         return len(idle)
 
     def end(self) -> int:
-        """Stop listening, and end the connections without a whole request; return how many.
+        """Stop listening, send the final response where no request is complete; return how often.
 
-        A connection that was made before has its final answer, one that comes later is refused.
+        Connections that were established before get the final response, including those not yet
+        accepted; later ones are refused.
         """
         for listener in self._sockets.values():
             self._accept_waiting(listener)
         self.stop()
-        left = self.leave_idle()
+        idle = self.leave_idle()
         partial = list(self._partial)
         for stream in partial:
-            self._leave(stream)
-        return left + len(partial)
+            self._send_final(stream)
+        return idle + len(partial)
 
     def _accept_waiting(self, listener: socket.socket) -> None:
-        """Take the connections that wait: they would be reset as the listener closes."""
+        """Accept pending connections, which closing the listener would reset."""
         while True:
             try:
                 connection, address = listener.accept()
             except BlockingIOError:
                 return
             except OSError as error:
-                _logger.warning("connection not taken", extra={"error": repr(error)})
+                _logger.warning("pending connection not accepted", extra={"error": repr(error)})
                 return
             self._handle_connection(connection, address)
 
-    def _leave(self, stream: iostream.IOStream) -> None:
+    def _send_final(self, stream: iostream.IOStream) -> None:
         self._idle.discard(stream)
         self._partial.discard(stream)
-        self._left.add(stream)
+        self._finalized.add(stream)
         try:
-            sending = stream.write(self._final)
+            writing = stream.write(self._final)
         except iostream.StreamClosedError:
             return
-        sending.add_done_callback(lambda sent: _half_close(stream, sent))
+        writing.add_done_callback(lambda written: _half_close(stream, written))
 
 
-def _half_close(stream: iostream.IOStream, sent: "asyncio.Future[None]") -> None:
-    """Tell the other side that nothing more comes, and go on reading."""
-    if sent.cancelled() or sent.exception() is not None or stream.closed():
+def _half_close(stream: iostream.IOStream, written: "asyncio.Future[None]") -> None:
+    """Close the sending direction only, so that the connection can still be read."""
+    if written.cancelled() or written.exception() is not None or stream.closed():
         return
     try:
         stream.socket.shutdown(socket.SHUT_WR)
@@ -194,18 +198,19 @@
         _logger.debug("connection ended", extra={"error": repr(error)})
 
 
-def _ended(reading: "asyncio.Future[bytes]") -> None:
-    """Take the end of a wait for a request, for which nobody may wait any more as a process stops.
+def _log_failed_read(reading: "asyncio.Future[bytes]") -> None:
+    """Log the error of a read, if any, so that it counts as retrieved.
 
-    The end of a connection would be told as an error of the process then.
+    While a process stops, nobody may await the read any more, and asyncio would report a closed
+    connection as "Task exception was never retrieved".
     """
     error = None if reading.cancelled() else reading.exception()
     if error is not None:
         _logger.debug("connection ended", extra={"error": repr(error)})
 
 
-class _Whole(httputil.HTTPMessageDelegate):
-    """Passes a request on, unless its connection has its final answer once it is whole."""
+class _CompleteRequests(httputil.HTTPMessageDelegate):
+    """Passes on requests that were complete before their connection got the final response."""
 
     def __init__(
         self,
@@ -222,20 +227,20 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
-        """Take the headers."""
+        """Pass on the headers."""
         return self._inner.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Take a part of the body."""
+        """Pass on a part of the body."""
         return self._inner.data_received(chunk)
 
     def finish(self) -> None:
-        """Take the end of the request."""
+        """Pass on the complete request, or drop it after the final response."""
         if self._server.settled(self._connection):
             self._inner.finish()
         else:
             self._inner.on_connection_close()
 
     def on_connection_close(self) -> None:
-        """Take that the connection has ended before the request."""
+        """Pass on that the connection closed before the end of the request."""
         self._inner.on_connection_close()
