--- a/src/sablemount/adapters/__init__.py
+++ b/src/sablemount/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the platform of the stand-ins: log service, VM list and workers over HTTP."""
+"""HTTP servers, the connection pool, and adapters to the log service, VM list and workers."""
--- a/src/sablemount/adapters/cell_services.py
+++ b/src/sablemount/adapters/cell_services.py
@@ -1,9 +1,10 @@
 """Adapters to the platform's log service and VM list, over HTTP.
 
-Guesses at their protocols, all kept here. The log: ``POST /append`` with one batch as the body
-answers 200 once it is written and 503 when it certainly is not; ``GET /read?after=N`` answers the
-entries after an offset with the head and the first retained offset, as MessagePack, and a read
-that begins after an append has ended shows it. The VM list: ``GET /vms`` answers a JSON list.
+The protocols are assumptions, and only this module depends on them. Log: ``POST /append`` with one
+batch as the body returns 200 once the batch is written and 503 if it certainly is not.
+``GET /read?after=N`` returns the entries after an offset, the head and the first retained offset,
+as MessagePack; a read that begins after an append has returned includes it. VM list: ``GET /vms``
+returns a JSON list.
 """
 
 import msgspec
@@ -18,15 +19,15 @@
 
 __all__ = ["HttpLog", "HttpVmList", "ReadReply"]
 
-NOT_WRITTEN = 503
-READ_LIMIT = 500
-"""Entries that one read brings at most."""
+NOT_WRITTEN_STATUS = 503
+MAX_READ_ENTRIES = 500
+"""Maximum number of entries in the reply to one read."""
 MAX_CLIENTS = 8
-MAX_REPLY = 600 * 1024 * 1024
+MAX_REPLY_BYTES = 600 * 1024 * 1024
 
 
 class ReadReply(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to a read of the log."""
+    """The reply to a read of the log."""
 
     head: int
     first: int
@@ -39,12 +40,12 @@
 
 def _client() -> httpclient.AsyncHTTPClient:
     return httpclient.AsyncHTTPClient(
-        force_instance=True, max_clients=MAX_CLIENTS, max_body_size=MAX_REPLY
+        force_instance=True, max_clients=MAX_CLIENTS, max_body_size=MAX_REPLY_BYTES
     )
 
 
 class HttpLog:
-    """Reads and writes the platform's log."""
+    """Reads and appends to the platform's log."""
 
     def __init__(
         self, address: str, meter: Meter, append_timeout: float, read_timeout: float
@@ -56,7 +57,7 @@
         self._client = _client()
 
     async def append(self, action: AppendLog) -> AppendEnded:
-        """Append one batch."""
+        """Append one batch; return whether it was written, refused or may have been written."""
         self._meter.count("control_bytes", "log_append", len(action.payload))
         try:
             await self._client.fetch(
@@ -69,7 +70,7 @@
         except ConnectionRefusedError:
             return AppendEnded(action.sequence, AppendStatus.REFUSED)
         except httpclient.HTTPClientError as error:
-            refused = error.code == NOT_WRITTEN
+            refused = error.code == NOT_WRITTEN_STATUS
             status = AppendStatus.REFUSED if refused else AppendStatus.UNKNOWN
             return AppendEnded(action.sequence, status)
         except OSError:
@@ -77,18 +78,18 @@
         return AppendEnded(action.sequence, AppendStatus.WRITTEN)
 
     async def read(self, action: ReadLog) -> LogRead | LogReadFailed:
-        """Read what follows an offset."""
+        """Read the entries after an offset."""
         sent_at = monotonic()
         try:
-            answer = await self._client.fetch(
-                f"{self._base}/read?after={action.after}&limit={READ_LIMIT}",
+            response = await self._client.fetch(
+                f"{self._base}/read?after={action.after}&limit={MAX_READ_ENTRIES}",
                 request_timeout=self._read_timeout,
                 connect_timeout=self._read_timeout,
             )
-            reply = _READ_DECODER.decode(answer.body)
+            reply = _READ_DECODER.decode(response.body)
         except (httpclient.HTTPClientError, OSError, msgspec.DecodeError):
             return LogReadFailed()
-        self._meter.count("control_bytes", "log_read", len(answer.body))
+        self._meter.count("control_bytes", "log_read", len(response.body))
         return LogRead(sent_at, reply.entries, reply.head, reply.first)
 
 
@@ -101,9 +102,9 @@
         self._client = _client()
 
     async def vms(self) -> VmListRead | None:
-        """Return the list, or ``None`` if it does not answer."""
+        """Return the list, or ``None`` if the service does not response."""
         try:
-            answer = await self._client.fetch(self._url, request_timeout=self._timeout)
-            return VmListRead(_LIST_DECODER.decode(answer.body))
+            response = await self._client.fetch(self._url, request_timeout=self._timeout)
+            return VmListRead(_LIST_DECODER.decode(response.body))
         except (httpclient.HTTPClientError, OSError, msgspec.DecodeError):
             return None
--- a/src/sablemount/adapters/ports.py
+++ b/src/sablemount/adapters/ports.py
@@ -1,7 +1,7 @@
-"""What the schedulers need of the platform; each port has one adapter.
+"""Interfaces through which the schedulers use the platform; each port has one adapter.
 
-The platform's real interfaces are not known yet. Everything that guesses at them is in the
-adapter of its port, and says so there.
+The platform's real interfaces are not known yet. Assumptions about them are confined to the
+adapters, whose docstrings state them.
 """
 
 from typing import Protocol
@@ -28,27 +28,27 @@
         ...
 
     async def read(self, action: ReadLog) -> LogRead | LogReadFailed:
-        """Read what follows an offset."""
+        """Read the entries after an offset."""
         ...
 
 
 class VmListPort(Protocol):
-    """The list of live and leaving VMs."""
+    """The platform's list of VMs, live ones and those that are leaving."""
 
     async def vms(self) -> VmListRead | None:
-        """Return the list, or ``None`` if it does not answer."""
+        """Return the list, or ``None`` if the service does not answer."""
         ...
 
 
 class WorkerPort(Protocol):
-    """The workers, each named by its VM's address."""
+    """The workers, each addressed by its VM's address."""
 
     async def start(self, action: StartRun, address: str) -> StartEnded:
         """Start a run."""
         ...
 
     async def poll(self, action: Poll, address: str) -> PollEnded:
-        """Renew, acknowledge, command and ask."""
+        """Renew leases, acknowledge outcomes, send commands and return the worker's report."""
         ...
 
     async def serve(self, action: Serve, address: str) -> RequestEnded:
--- a/src/sablemount/adapters/upstream.py
+++ b/src/sablemount/adapters/upstream.py
@@ -1,9 +1,9 @@
-"""Kept HTTP connections to upstreams that never repeat a request by themselves.
+"""A pool of persistent HTTP connections to upstreams that never repeats a request by itself.
 
-tornado's simple client opens a connection for every request, and its curl client keeps
-connections but lets libcurl reissue a request when a kept one dies, whatever the method. This
-client keeps connections over tornado's own ``HTTP1Connection`` and tells apart what the verdicts
-need: whether a byte of the request may have left.
+tornado's simple client opens a connection for every request. Its curl client reuses connections,
+but lets libcurl repeat a request, whatever its method, when a reused connection dies. This client
+reuses connections with tornado's own ``HTTP1Connection`` and reports what the verdicts depend on:
+whether a byte of the request may have been sent.
 """
 
 import asyncio
@@ -17,17 +17,21 @@
 __all__ = ["Answer", "CutShort", "NotSent", "Parts", "UpstreamPool"]
 
 IDLE_SECONDS = 4.0
-"""How long a connection may idle and still be used; upstreams commonly close idle ones later."""
+"""Seconds for which an idle connection may be reused; upstreams commonly close idle connections
+after a longer time."""
 SUSPECT_AFTER = 0.1
-"""Seconds without an answer, 25 times a usual one, after which other idle connections to the same
-address are not used: open connections may fall silent together, without a reset, while new ones
-work."""
-PARAMETERS = http1connection.HTTP1ConnectionParameters(max_body_size=64 * 1024 * 1024)
+"""Seconds after which a call without a response is overdue, 25 times the usual response time. The
+connections to its address that were idle when it was sent are not reused then: open connections
+can stop responding together, without a reset, while new ones work."""
+CONNECTION_PARAMETERS = http1connection.HTTP1ConnectionParameters(max_body_size=64 * 1024 * 1024)
 NO_STATUS = 0
 
 
 class NotSent(Exception):
-    """No byte of the request has left; ``refused`` tells that nothing listens at the address."""
+    """No byte of the request was sent.
+
+    ``refused`` is true if the connection was refused: nothing listens at the address.
+    """
 
     def __init__(self, reason: str, refused: bool = False) -> None:
         super().__init__(reason)
@@ -35,9 +39,9 @@
 
 
 class CutShort(Exception):
-    """The request may have arrived, and no whole answer came.
+    """The request may have arrived, but no complete response was received.
 
-    ``received`` is how many bytes of its body did.
+    ``received`` is the number of bytes of the response's body that were.
     """
 
     def __init__(self, reason: str, received: int = 0) -> None:
@@ -51,7 +55,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: httputil.HTTPHeaders
@@ -59,35 +63,36 @@
 
 
 class Parts(msgspec.Struct, frozen=True):
-    """How an answer is awaited that may be long: ``arrived`` takes the bytes of each part.
+    """How to wait for a response that may be long.
 
-    ``silence`` is for how many seconds none may come once the first has.
+    ``on_received`` is called with the number of bytes of each part, and ``gap_timeout`` is the
+    time in seconds that may pass between two parts.
     """
 
     silence: float
     arrived: Callable[[int], None]
 
 
-class _Awaited:
-    """A call without an answer: when it was sent, and from when on it is overdue."""
+class _PendingCall:
+    """A call without a response so far: when it was sent, and from when it is overdue."""
 
-    __slots__ = ("due_at", "sent_at")
+    __slots__ = ("overdue_at", "sent_at")
 
-    def __init__(self, sent_at: float, due_at: float) -> None:
+    def __init__(self, sent_at: float, overdue_at: float) -> None:
         self.sent_at = sent_at
-        self.due_at = due_at
+        self.overdue_at = overdue_at
 
 
-class _Collector(httputil.HTTPMessageDelegate):
-    """Collects one answer; ``complete`` is set only when all of it is there."""
+class _ResponseCollector(httputil.HTTPMessageDelegate):
+    """Collects one response; ``complete`` is set only once all of it has arrived."""
 
-    __slots__ = ("_awaited", "_parts", "bound", "chunks", "complete", "headers", "status")
+    __slots__ = ("_pending", "_parts", "timeout_scope", "chunks", "complete", "headers", "status")
 
-    def __init__(self, awaited: _Awaited, parts: Parts | None) -> None:
-        self._awaited = awaited
+    def __init__(self, pending: _PendingCall, parts: Parts | None) -> None:
+        self._pending = pending
         self._parts = parts
-        self.bound: asyncio.Timeout | None = None
-        """What ends the wait for the answer."""
+        self.timeout_scope: asyncio.Timeout | None = None
+        """The time limit for the response."""
         self.status = NO_STATUS
         self.headers = httputil.HTTPHeaders()
         self.chunks: list[bytes] = []
@@ -98,40 +103,40 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Take the status and the headers."""
+        """Store the status and the headers."""
         assert isinstance(start_line, httputil.ResponseStartLine)
         self.status = start_line.code
         self.headers = headers
 
     @property
     def received(self) -> int:
-        """Return how many bytes of the body have come."""
+        """Return the number of bytes of the body received so far."""
         return sum(len(chunk) for chunk in self.chunks)
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+        """Store a part of the body; its call is no longer overdue."""
         self.chunks.append(chunk)
-        self._awaited.due_at = float("inf")
+        self._pending.overdue_at = float("inf")
         if self._parts is not None:
             self._parts.arrived(len(chunk))
-            self._await_more(self._parts.silence)
+            self._extend_timeout(self._parts.silence)
 
-    def _await_more(self, seconds: float) -> None:
-        bound = self.bound
+    def _extend_timeout(self, seconds: float) -> None:
+        timeout_scope = self.timeout_scope
         until = asyncio.get_running_loop().time() + seconds
-        if bound is not None and until > (bound.when() or until):
-            bound.reschedule(until)
+        if timeout_scope is not None and until > (timeout_scope.when() or until):
+            timeout_scope.reschedule(until)
 
     def finish(self) -> None:
-        """Take the end of the answer."""
+        """Mark the response complete."""
         self.complete = True
 
     def on_connection_close(self) -> None:
-        """Leave the answer incomplete."""
+        """Leave the response incomplete."""
 
 
 class UpstreamPool:
-    """Connections to upstreams by address, a limited number to each."""
+    """Reusable connections to upstreams, a limited number to each address."""
 
     def __init__(self, per_address: int, idle_seconds: float = IDLE_SECONDS) -> None:
         self._per_address = per_address
@@ -139,10 +144,10 @@
         self._client = tcpclient.TCPClient()
         self._idle: dict[str, list[tuple[float, iostream.IOStream]]] = {}
         self._open: dict[str, int] = {}
-        self._awaited: dict[str, set[_Awaited]] = {}
-        """Calls without an answer, by address."""
-        self._distrusted: dict[str, float] = {}
-        """Time up to which connections that were put back are not used any more, by address."""
+        self._pending: dict[str, set[_PendingCall]] = {}
+        """Calls without a response so far, by address."""
+        self._distrusted_before: dict[str, float] = {}
+        """By address, a time: connections that became idle before it are not reused."""
 
     async def fetch(
         self,
@@ -156,48 +161,49 @@
         waits: float = 0.0,
         parts: Parts | None = None,
     ) -> Answer:
-        """Send a request once and return the whole answer.
+        """Send a request once and return the complete response.
 
-        ``timeout`` is in seconds; ``not_after`` is the last monotonic time at which the bytes
-        may be handed to the network, and ``waits`` the seconds for which the upstream is asked to
-        hold its answer back. With ``parts`` an answer that has begun to come is awaited while more
-        of it comes. Raises ``NotSent`` or ``CutShort``.
+        ``timeout`` is in seconds. ``not_after`` is the last monotonic time at which the request
+        may be handed to the network. ``waits`` is how many seconds the upstream is asked to delay
+        its response (long polling). With ``streaming``, a response that has begun may take longer
+        than ``timeout`` as long as more of it arrives. Raises ``RequestNotSent`` or
+        ``IncompleteResponse``.
         """
         deadline = monotonic() + timeout
         stream = await self._take(address, deadline)
-        # Checked at the last moment: the process may have been paused while it connected.
+        # Checked immediately before sending: the process may have been paused while it connected.
         if monotonic() > not_after:
             self._put_back(address, stream)
             raise NotSent("the lease is over")
         now = monotonic()
-        awaited = _Awaited(now, now + waits + SUSPECT_AFTER)
-        self._awaited.setdefault(address, set()).add(awaited)
+        pending = _PendingCall(now, now + waits + SUSPECT_AFTER)
+        self._pending.setdefault(address, set()).add(pending)
         try:
-            collector = _Collector(awaited, parts)
-            answer = await self._exchange(
+            collector = _ResponseCollector(pending, parts)
+            response = await self._exchange(
                 stream, address, method, path, body, headers, deadline, collector
             )
         except CutShort:
             self._discard(address, stream)
-            # What idled before the call was sent may have ended, or fallen silent, with it.
-            self._distrust(address, awaited.sent_at)
+            # Connections that were idle before the call was sent may have failed with this one.
+            self._distrust(address, pending.sent_at)
             raise
         except BaseException:
             self._discard(address, stream)
             raise
         finally:
-            self._awaited[address].discard(awaited)
+            self._pending[address].discard(pending)
         self._put_back(address, stream)
-        return answer
+        return response
 
     def _distrust_overdue(self, address: str, now: float) -> None:
-        """Take that what idled before an overdue call was sent may have fallen silent with it."""
-        for call in self._awaited.get(address, ()):
-            if now > call.due_at:
+        """Distrust connections that were idle when a call that is overdue by now was sent."""
+        for call in self._pending.get(address, ()):
+            if now > call.overdue_at:
                 self._distrust(address, call.sent_at)
 
     def _distrust(self, address: str, before: float) -> None:
-        self._distrusted[address] = max(self._distrusted.get(address, 0.0), before)
+        self._distrusted_before[address] = max(self._distrusted_before.get(address, 0.0), before)
 
     async def _exchange(
         self,
@@ -208,21 +214,21 @@
         body: bytes,
         headers: Mapping[str, str],
         deadline: float,
-        collector: "_Collector",
+        collector: "_ResponseCollector",
     ) -> Answer:
-        connection = http1connection.HTTP1Connection(stream, True, PARAMETERS)
+        connection = http1connection.HTTP1Connection(stream, True, CONNECTION_PARAMETERS)
         fields = httputil.HTTPHeaders(headers)
         fields["Host"] = address
         if body or method != "GET":
             fields["Content-Length"] = str(len(body))
         try:
             start = httputil.RequestStartLine(method, path, "HTTP/1.1")
-            # Nothing waits for the write: a failed one shows as an answer that does not come.
+            # The write is not awaited: if it fails, no response arrives.
             connection.write_headers(start, fields, body)
             connection.finish()
-            # A timeout in place costs no task of its own, as waiting for one would.
-            async with asyncio.timeout(max(0.0, deadline - monotonic())) as bound:
-                collector.bound = bound
+            # Unlike asyncio.wait_for with a coroutine, this timeout needs no task of its own.
+            async with asyncio.timeout(max(0.0, deadline - monotonic())) as timeout_scope:
+                collector.timeout_scope = timeout_scope
                 await connection.read_response(collector)
         except (
             TimeoutError,
@@ -239,11 +245,11 @@
     async def _take(self, address: str, deadline: float) -> iostream.IOStream:
         now = monotonic()
         self._distrust_overdue(address, now)
-        trusted_from = max(now - self._idle_seconds, self._distrusted.get(address, 0.0))
+        reusable_from = max(now - self._idle_seconds, self._distrusted_before.get(address, 0.0))
         idle = self._idle.get(address, [])
         while idle:
-            since, stream = idle.pop()
-            if not stream.closed() and since > trusted_from:
+            idle_since, stream = idle.pop()
+            if not stream.closed() and idle_since > reusable_from:
                 return stream
             self._discard(address, stream)
         if self._open.get(address, 0) >= self._per_address:
@@ -260,7 +266,7 @@
             self._open[address] -= 1
             raise NotSent(type(error).__name__, _is_refusal(error)) from error
         except BaseException:
-            # A caller that gives up while it connects: its place in the limit is free again.
+            # The caller was cancelled while it connected: the connection no longer counts.
             self._open[address] -= 1
             raise
         stream.set_nodelay(True)
--- a/src/sablemount/adapters/workers.py
+++ b/src/sablemount/adapters/workers.py
@@ -1,9 +1,10 @@
 """Adapter to the workers, over HTTP.
 
-Guesses at the worker's protocol, all kept here: ``POST /runs`` starts a run, ``POST /poll`` does
-all else that concerns runs, and ``POST /serve`` serves a request. A worker refuses by status 503
-with the header ``Sablemount-Refused``; then nothing ran. Its list of runs is current, while its
-report of use lags. It keeps the outcome of a run until it is acknowledged.
+The worker's protocol is an assumption, and only this module depends on it: ``POST /runs`` starts a
+run, ``POST /poll`` does everything else that concerns runs, and ``POST /serve`` serves a request. A
+worker refuses with status 503 and the header ``Sablemount-Refused``, in which case nothing ran. Its
+list of runs is up to date, while its usage report lags. It keeps the outcome of a run until it is
+acknowledged.
 """
 
 import msgspec
@@ -22,13 +23,13 @@
 OK = 200
 SERVER_ERROR = 500
 START_SLACK = 0.5
-"""How much longer than a poll a start may take, as a share."""
+"""How much longer than a poll a start may take, as a fraction."""
 
 _ENCODER = msgspec.json.Encoder()
 
 
 class PollReply(msgspec.Struct, frozen=True):
-    """A worker's answer to a poll."""
+    """A worker's response to a poll."""
 
     boot: str
     leaving: bool
@@ -52,66 +53,66 @@
         body = _ENCODER.encode(action)
         self._meter.count("control_bytes", "start", len(body))
         try:
-            answer = await self._pool.fetch(
+            response = await self._pool.fetch(
                 address, "/runs", body, {}, self._timeout, action.not_after
             )
         except NotSent:
             return StartEnded(action.run, StartStatus.NOT_SENT)
         except CutShort:
             return StartEnded(action.run, StartStatus.UNKNOWN)
-        if answer.status == OK:
+        if response.status == OK:
             return StartEnded(action.run, StartStatus.STARTED)
-        refused = REFUSED_HEADER in answer.headers
+        refused = REFUSED_HEADER in response.headers
         status = StartStatus.REFUSED if refused else StartStatus.UNKNOWN
         return StartEnded(action.run, status)
 
     async def poll(self, action: Poll, address: str) -> PollEnded:
-        """Renew, acknowledge, command and ask."""
+        """Renew leases, acknowledge outcomes, send commands and return the worker's report."""
         sent_at = monotonic()
         body = _ENCODER.encode(action)
         try:
-            answer = await self._pool.fetch(
+            response = await self._pool.fetch(
                 address, "/poll", body, {}, self._timeout, action.not_after
             )
-            reply = _POLL_DECODER.decode(answer.body)
+            reply = _POLL_DECODER.decode(response.body)
         except (NotSent, CutShort, msgspec.DecodeError):
             return PollEnded(action.vm, sent_at)
-        self._meter.count("control_bytes", "poll", len(body) + len(answer.body))
+        self._meter.count("control_bytes", "poll", len(body) + len(response.body))
         return PollEnded(action.vm, sent_at, reply.boot, reply.leaving, reply.runs, reply.requests)
 
     async def serve(self, action: Serve, address: str) -> RequestEnded:
         """Serve a request."""
-        started = monotonic()
+        started_at = monotonic()
         headers = {REQUEST_HEADER: action.request}
         try:
-            answer = await self._pool.fetch(
+            response = await self._pool.fetch(
                 address,
                 "/serve",
                 action.body,
                 headers,
-                action.deadline - started,
+                action.deadline - started_at,
                 action.not_after,
             )
         except NotSent as error:
             failure = Failure(Verdict.NOT_RUN, Reason.UPSTREAM_UNREACHABLE, str(error))
             return RequestEnded(action.request, action.vm, failure, True)
         except CutShort as error:
-            late = monotonic() >= action.deadline
-            reason = Reason.DEADLINE if late else Reason.UPSTREAM_CUT_SHORT
+            past_deadline = monotonic() >= action.deadline
+            reason = Reason.DEADLINE if past_deadline else Reason.UPSTREAM_CUT_SHORT
             failure = Failure(Verdict.MAY_HAVE_RUN, reason, str(error))
             return RequestEnded(action.request, action.vm, failure, False)
-        return self._answered(action, answer, monotonic() - started)
+        return self._request_ended(action, response, monotonic() - started_at)
 
-    def _answered(self, action: Serve, answer: Answer, elapsed: float) -> RequestEnded:
+    def _request_ended(self, action: Serve, response: Answer, elapsed: float) -> RequestEnded:
         failure = None
-        if answer.headers.get(REQUEST_HEADER, action.request) != action.request:
-            # Another request's answer reaches nobody.
+        if response.headers.get(REQUEST_HEADER, action.request) != action.request:
+            # The response belongs to another request and must not reach this caller.
             failure = Failure(Verdict.MAY_HAVE_RUN, Reason.UPSTREAM_ERROR, "not its own answer")
-        elif REFUSED_HEADER in answer.headers:
+        elif REFUSED_HEADER in response.headers:
             failure = Failure(Verdict.NOT_RUN, Reason.UPSTREAM_REFUSED, "", 0.1)
-        elif answer.status >= SERVER_ERROR:
+        elif response.status >= SERVER_ERROR:
             failure = Failure(
-                Verdict.MAY_HAVE_RUN, Reason.UPSTREAM_ERROR, f"status {answer.status}"
+                Verdict.MAY_HAVE_RUN, Reason.UPSTREAM_ERROR, f"status {response.status}"
             )
-        served = Served(answer.body, action.vm, answer.status) if failure is None else None
+        served = Served(response.body, action.vm, response.status) if failure is None else None
         return RequestEnded(action.request, action.vm, failure, True, elapsed, served)
