--- a/src/sablemount/platform/__init__.py
+++ b/src/sablemount/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translators between the users' platform and the product; nothing else knows its names."""
+"""Translation between the users' platform and the product; no other package uses its names."""
--- a/src/sablemount/platform/directory.py
+++ b/src/sablemount/platform/directory.py
@@ -1,6 +1,7 @@
-"""Entries that the operator and the workers write to the store.
+"""Decodes the entries that the operator and the workers write to the store.
 
-Others may write beside them. What is not whole, or can't be meant, names no VM, and is told once.
+Others may write to the same topics. An incomplete or invalid entry yields no VM or configuration,
+and each error is logged once.
 """
 
 import ipaddress
@@ -33,12 +34,12 @@
 OPERATOR_PREFIX = "op/"
 WORKERS_PREFIX = "servers/"
 DRAINING = "draining"
-MAX_ID = 100
-"""Characters of a worker's id at most: with it a key has to fit into a byte's worth of bytes."""
+MAX_ID_LENGTH = 100
+"""Longest worker id, in characters: a key that contains it may have at most 255 bytes."""
 MAX_PORT = 65_535
-MAX_TOLD = 500
-"""Keys of which it is kept what was last wrong with their entries, so that it is told once."""
-MS = 1000.0
+MAX_LOGGED_KEYS = 500
+"""Maximum number of keys whose last error is remembered, so that it is logged once."""
+MS_PER_S = 1000.0
 
 Count = Annotated[int, Meta(ge=0)]
 Duration = Annotated[float, Meta(ge=0.0)]
@@ -49,14 +50,14 @@
 
 
 class Capacity(msgspec.Struct, frozen=True, rename="camel"):
-    """Room of a worker or need of a task."""
+    """Capacity of a worker, demand of a task or cap of an organisation."""
 
     cpu: int = 0
     mem_mb: int = 0
     gpu: int = 0
 
     def shape(self) -> Shape:
-        """Return the product's shape."""
+        """Convert to the product's shape."""
         return Shape(self.cpu, self.mem_mb, self.gpu)
 
 
@@ -66,12 +67,15 @@
     gpu: Count = 0
 
     def shape(self) -> Shape:
-        """Return the product's shape."""
+        """Convert to the product's shape."""
         return Shape(self.cpu, self.mem_mb, self.gpu)
 
 
 class _Worker(msgspec.Struct, frozen=True, rename="camel"):
-    """All that each worker writes; what is not used here tells a whole entry from another's."""
+    """An entry of a worker, with all fields that every worker writes.
+
+    Some are not used here, but their absence shows that an entry was written by something else.
+    """
 
     service: Name
     addr: Name
@@ -119,7 +123,7 @@
     cap: Capacity = Capacity()
 
     def organisation(self) -> Organisation:
-        """Return the product's organisation."""
+        """Convert to the product's organisation."""
         digests = tuple(key_digest(key.encode()) for key in self.api_keys if key)
         return Organisation(self.name, digests, self.weight, self.cap.shape())
 
@@ -131,12 +135,12 @@
     idle_timeout_ms: float = 0.0
 
     def limits(self) -> RequestLimits:
-        """Return the product's limits."""
+        """Convert to the product's limits."""
         return RequestLimits(
             self.max_header_bytes,
             self.max_body_bytes,
-            self.header_timeout_ms / MS,
-            self.idle_timeout_ms / MS,
+            self.header_timeout_ms / MS_PER_S,
+            self.idle_timeout_ms / MS_PER_S,
         )
 
 
@@ -147,8 +151,8 @@
     tenants: tuple[_Tenant, ...] = ()
     limits: _Limits = _Limits()
 
-    def faults(self) -> Iterator[str]:
-        """Yield what can't be meant."""
+    def errors(self) -> Iterator[str]:
+        """Yield a description of each invalid value."""
         for tenant in self.tenants:
             if not tenant.name:
                 yield "an organisation without a name"
@@ -167,89 +171,89 @@
 
 
 class PlatformDirectory:
-    """Decodes the entries; what does not decode is logged and passed over.
+    """Decodes entries of workers and the operator; invalid ones are logged and ignored.
 
-    ``keyed`` tells whether callers need keys also while a configuration names no organisation.
+    With ``keyed``, callers need keys even if the configuration names no organisation.
     """
 
     def __init__(self, keyed: bool = False) -> None:
         self._keyed = keyed
-        self._told: dict[str, str] = {}
-        """What was last wrong with an entry, by its key."""
+        self._logged_errors: dict[str, str] = {}
+        """The last error logged for an entry, by its key."""
 
     def vm(self, record: Record) -> VmInfo | None:
         """Decode a worker's entry."""
-        told = self._decode(_WORKER, record)
-        if told is None:
+        entry = self._decode(_WORKER, record)
+        if entry is None:
             return None
         name = record.key.removeprefix(WORKERS_PREFIX)
-        if not _is_id(name) or not _is_address(told.addr):
-            self._tell(record.key, "no id, or no address")
+        if not _is_id(name) or not _is_address(entry.addr):
+            self._log_once(record.key, "no id, or no address")
             return None
         return VmInfo(
-            life_name(name, told.born),
-            told.addr,
-            told.service,
-            told.capacity.shape(),
-            told.labels,
-            told.state == DRAINING,
-            told.machine,
-            told.remaining_ms / MS,
-            told.seq,
+            life_name(name, entry.born),
+            entry.addr,
+            entry.service,
+            entry.capacity.shape(),
+            entry.labels,
+            entry.state == DRAINING,
+            entry.machine,
+            entry.remaining_ms / MS_PER_S,
+            entry.seq,
             name,
-            told.born,
+            entry.born,
         )
 
     def configuration(self, record: Record) -> Configuration | None:
         """Decode the configuration."""
         if record.key.removeprefix(OPERATOR_PREFIX) != CONFIG_KEY:
             return None
-        told = self._decode(_CONFIGURATION, record)
-        if told is None:
+        entry = self._decode(_CONFIGURATION, record)
+        if entry is None:
             return None
-        fault = next(told.faults(), None)
-        if fault is not None:
-            _logger.warning("configuration refused", extra={"version": told.version, "why": fault})
+        error = next(entry.errors(), None)
+        if error is not None:
+            _logger.warning("configuration refused", extra={"version": entry.version, "why": error})
             return None
         return Configuration(
-            told.version,
-            tuple(map(_queue, told.routes)),
-            frozenset(service.name for service in told.services if service.rejects_overload),
-            self._keyed or bool(told.tenants),
-            tuple(tenant.organisation() for tenant in told.tenants),
-            told.limits.limits(),
-            frozenset(service.name for service in told.services),
+            entry.version,
+            tuple(map(_queue, entry.routes)),
+            frozenset(service.name for service in entry.services if service.rejects_overload),
+            self._keyed or bool(entry.tenants),
+            tuple(tenant.organisation() for tenant in entry.tenants),
+            entry.limits.limits(),
+            frozenset(service.name for service in entry.services),
         )
 
     def _decode(self, decoder: msgspec.json.Decoder[_T], record: Record) -> _T | None:
-        """Return what a record holds; ``None`` if it drops its key or does not decode."""
+        """Decode a record's value; ``None`` if the record deletes its key or is invalid."""
         if not record.value:
             return None
         try:
-            found = decoder.decode(record.value)
+            decoded = decoder.decode(record.value)
         except (msgspec.DecodeError, RecursionError) as error:
-            self._tell(record.key, str(error))
+            self._log_once(record.key, str(error))
             return None
-        self._told.pop(record.key, None)
-        return found
+        self._logged_errors.pop(record.key, None)
+        return decoded
 
-    def _tell(self, key: str, error: str) -> None:
-        """Log what is wrong with an entry, unless it was so the last time too."""
-        if self._told.get(key) == error:
+    def _log_once(self, key: str, error: str) -> None:
+        """Log an entry's error, unless it is the same as the last one of this key."""
+        if self._logged_errors.get(key) == error:
             return
-        if len(self._told) >= MAX_TOLD:
-            self._told.clear()
-        self._told[key] = error
-        # A key of another writer may be no text.
+        if len(self._logged_errors) >= MAX_LOGGED_KEYS:
+            self._logged_errors.clear()
+        self._logged_errors[key] = error
+        # A key written by something else may not be valid text.
         _logger.warning("undecodable", extra={"key": ascii(key), "error": ascii(error)})
 
 
 def _is_id(name: str) -> bool:
-    return is_plain(name) and 0 < len(name) <= MAX_ID
+    return is_plain(name) and 0 < len(name) <= MAX_ID_LENGTH
 
 
 def _is_address(address: str) -> bool:
-    """Tell whether a text is an IPv4 address and a port."""
+    """Return whether a string consists of an IPv4 address and a port."""
     host, _, port = address.rpartition(":")
     if not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         return False
@@ -263,8 +267,8 @@
 def _queue(route: _Route) -> Queue:
     advice = None
     if route.advice is not None:
-        told = route.advice
-        advice = AdviceTerms(told.decide_ms, told.each_ms, told.valid_ms)
+        given = route.advice
+        advice = AdviceTerms(given.decide_ms, given.each_ms, given.valid_ms)
     terms = QueueTerms(
         route.name,
         route.service,
--- a/src/sablemount/platform/hangup.py
+++ b/src/sablemount/platform/hangup.py
@@ -1,7 +1,7 @@
-"""Holds back the signal that settings have changed while a process starts.
+"""Blocks SIGHUP, which announces changed settings, while a process starts.
 
-Without a handler it ends a process; the platform may send it at any time, and on a busy machine the
-imports take a second. A signal that is held back is taken as soon as the handler is there.
+Without a handler, SIGHUP terminates a process. The platform may send it at any time, and on a busy
+machine the imports take a second. A blocked signal is delivered as soon as it is unblocked.
 """
 
 import signal
@@ -10,10 +10,10 @@
 
 
 def hold() -> None:
-    """Hold the signal back from now on."""
+    """Block SIGHUP."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
 def release() -> None:
-    """Take the signal from now on, and one that came meanwhile; its handler must be there."""
+    """Unblock SIGHUP and deliver a pending one; its handler must be installed."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
--- a/src/sablemount/platform/lives.py
+++ b/src/sablemount/platform/lives.py
@@ -1,7 +1,8 @@
-"""Names of the lives of workers.
+"""Names of the incarnations of workers.
 
-A worker may start again under the id that it had; the Unix millisecond of its start tells its lives
-apart. The product names one life of a VM, so that whatever it keeps by that name is of one life.
+A worker can restart under the same id; the Unix time of its start, in milliseconds, distinguishes
+its incarnations. The scheduler's name of a VM identifies one incarnation, so that all state stored
+under this name belongs to that incarnation.
 """
 
 from sablemount.jobs.model import LIFE_SEPARATOR
@@ -10,15 +11,15 @@
 
 
 def life_name(worker: str, born: int) -> str:
-    """Return the name of a life of a worker; its id alone if its start is not known."""
+    """Return the name of a worker's incarnation: its id alone if its time of start is unknown."""
     return f"{worker}{LIFE_SEPARATOR}{born}" if born else worker
 
 
-def entry_of(life: str) -> str:
-    """Return the id under which a life is listed and called."""
-    return life.partition(LIFE_SEPARATOR)[0]
+def entry_of(incarnation: str) -> str:
+    """Return the worker id under which an incarnation is listed and called."""
+    return incarnation.partition(LIFE_SEPARATOR)[0]
 
 
 def is_plain(worker: str) -> bool:
-    """Tell whether an id can be part of a life's name."""
+    """Return whether an id can be part of an incarnation's name."""
     return worker.isascii() and worker.isprintable() and not set(f" {LIFE_SEPARATOR}") & set(worker)
