--- a/src/sablemount/platform/front.py
+++ b/src/sablemount/platform/front.py
@@ -1,4 +1,4 @@
-"""The callers' side: HTTP requests translated into the product's calls, and its answers back."""
+"""HTTP interface for callers: translates requests into the product's calls and replies back."""
 
 import asyncio
 import logging
@@ -22,11 +22,11 @@
 KEY_HEADER = "Authorization"
 KEY_SCHEME = "bearer"
 DEFAULT_DEADLINE_MS = 3000.0
-"""Time of a caller that names none (ms), which is the usual time-out of a route."""
+"""Deadline of a request that gives none, in ms: the usual timeout of a route."""
 DEADLINE_SHARE = 0.9
-"""Share of a caller's time after which it is told that there is no answer."""
+"""Fraction of the caller's deadline after which it gets a reply, even if the result is unknown."""
 OPERATIONS = {"POST": Operation.SUBMIT, "GET": Operation.STATE, "DELETE": Operation.CANCEL}
-STATUS = {
+STATUS_OF_OUTCOME = {
     Outcome.DONE: HTTPStatus.OK,
     Outcome.NO_JOB: HTTPStatus.GONE,
     Outcome.NO_QUEUE: HTTPStatus.NOT_FOUND,
@@ -36,7 +36,7 @@
     Outcome.NO_KEY: HTTPStatus.UNAUTHORIZED,
     Outcome.NAME_TAKEN: HTTPStatus.CONFLICT,
 }
-FIELD_NAMES = {
+PLATFORM_FIELD_NAMES = {
     ".after": ".dependsOn",
     ".payload": ".spec",
     ".times": ".maxRuns",
@@ -44,8 +44,9 @@
     ".shape.memory": ".memMb",
     ".shape.accelerators": ".gpu",
 }
+"""The platform's names of fields of a job, by the product's path of the field."""
 READY_PATH = "/api/readyz"
-MS = 1000.0
+MS_PER_S = 1000.0
 
 _logger = logging.getLogger("sablemount.platform.front")
 
@@ -71,7 +72,7 @@
     may_miss: int = 0
 
     def step(self) -> StepSpec:
-        """Return the product's step."""
+        """Convert to the product's step."""
         return StepSpec(
             count=self.count,
             shape=Shape(self.cpu, self.mem_mb, self.gpu),
@@ -100,7 +101,7 @@
     interval_ms: float = 0.0
 
 
-class _Fault(msgspec.Struct, frozen=True, omit_defaults=True):
+class _ErrorBody(msgspec.Struct, frozen=True, omit_defaults=True):
     error: str
     path: str = ""
 
@@ -110,7 +111,7 @@
 
 
 def decode_job(body: bytes) -> JobSpec:
-    """Decode a job; raises ``msgspec.DecodeError``."""
+    """Decode a job; raise ``msgspec.DecodeError`` if it is invalid."""
     job = _JOB.decode(body)
     steps = tuple(step.step() for step in job.steps)
     return JobSpec(job.spec, steps, job.max_runs, job.start_at_ms, job.interval_ms)
@@ -120,11 +121,11 @@
 
 
 STOPPING = CallerReply(Outcome.NOT_TAKEN, reason="the process stops", retry_after=1.0)
-CUT_SHORT = CallerReply(Outcome.UNKNOWN, reason="the process ends before the answer is there")
+UNFINISHED = CallerReply(Outcome.UNKNOWN, reason="the process ends before the answer is there")
 
 
 class Front:
-    """Serves callers."""
+    """Serves callers over HTTP."""
 
     def __init__(
         self, member: Member, spawn: Callable[[Coroutine[object, object, None]], object]
@@ -132,30 +133,30 @@
         self._member = member
         self._spawn = spawn
         self.closing = False
-        """Whether connections are closed with the answer to their call."""
+        """Whether a connection is closed after the response to its current call."""
         self.refusing = False
-        """Whether new calls are refused at once, since they may take longer than the process."""
+        """Whether new calls are refused at once, since they may outlast the process."""
         self.in_flight = 0
         self._replies: set[asyncio.Task[CallerReply]] = set()
-        final = final_answer(_ENCODER.encode(_Fault(STOPPING.reason)))
-        self.server = CallerServer(self._take, body_timeout=BODY_SECONDS, final=final)
+        final = final_answer(_ENCODER.encode(_ErrorBody(STOPPING.reason)))
+        self.server = CallerServer(self._accept, body_timeout=BODY_SECONDS, final=final)
         self.server.refuse = self._refuse
         self.server.set_limits(DEFAULT_LIMITS)
         member.feed.subscribe(lambda configuration: self.server.set_limits(configuration.limits))
 
     def _refuse(self, connection: httputil.HTTPConnection, status: HTTPStatus, reason: str) -> None:
-        """Answer a request that is over a bound, of which no more is read."""
+        """Answer a request that exceeds a limit; no more of it is read."""
         self._member.figures.count("refused", reason)
         _logger.info("refused", extra={"status": int(status), "why": reason})
-        _write(connection, status, _ENCODER.encode(_Fault(reason)), {"Connection": "close"})
+        _write(connection, status, _ENCODER.encode(_ErrorBody(reason)), {"Connection": "close"})
 
-    def _take(self, request: httputil.HTTPServerRequest) -> None:
+    def _accept(self, request: httputil.HTTPServerRequest) -> None:
         self.in_flight += 1
         self._spawn(self._serve(request))
 
     async def _serve(self, request: httputil.HTTPServerRequest) -> None:
         try:
-            reply = STOPPING if self.refusing else await self._bounded(request)
+            reply = STOPPING if self.refusing else await self._reply_or_unfinished(request)
         except Exception:
             _logger.exception("internal error", extra={"path": request.path})
             reply = CallerReply(Outcome.UNKNOWN, reason="internal error")
@@ -163,8 +164,8 @@
             self.in_flight -= 1
         self._answer(request, reply)
 
-    async def _bounded(self, request: httputil.HTTPServerRequest) -> CallerReply:
-        """Return the reply, or that nothing is known if the process ends before it is there."""
+    async def _reply_or_unfinished(self, request: httputil.HTTPServerRequest) -> CallerReply:
+        """Return the reply, or ``UNFINISHED`` if the process ends before there is one."""
         task = asyncio.get_running_loop().create_task(self._reply(request))
         self._replies.add(task)
         try:
@@ -172,30 +173,30 @@
         finally:
             self._replies.discard(task)
             task.cancel()
-        return CUT_SHORT if task.cancelled() else task.result()
+        return UNFINISHED if task.cancelled() else task.result()
 
     def close_after_answers(self) -> None:
-        """Close each connection with the answer to its next call, so that callers go elsewhere."""
+        """Close each connection after its next response, so that callers go elsewhere."""
         self.closing = True
         self.server.conn_params.no_keep_alive = True
 
     def refuse(self) -> None:
-        """Refuse new calls at once, also those that may be on their way over idle connections."""
+        """Refuse new calls at once, including those already on their way over idle connections."""
         if self.refusing:
             return
         self.refusing = True
-        _logger.info("calls refused", extra={"in_flight": self.in_flight})
-        left = self.server.leave_idle()
-        if left:
-            self._member.figures.count("connection_ended", "idle", left)
+        _logger.info("refusing new calls", extra={"in_flight": self.in_flight})
+        closed = self.server.leave_idle()
+        if closed:
+            self._member.figures.count("connection_ended", "idle", closed)
 
     @property
     def served_out(self) -> bool:
-        """Tell whether no call is in flight and no caller is connected."""
+        """Return whether no call is in flight and no caller is connected."""
         return not self.in_flight and not self.server.open_connections
 
     def cut_short(self) -> None:
-        """Answer what is in flight: the process is about to end."""
+        """Answer the calls in flight with ``UNFINISHED``: the process is about to end."""
         for task in self._replies:
             task.cancel()
 
@@ -215,7 +216,7 @@
         return await self._member.serve(call, _timeout(request), digest_of(request.headers))
 
     def _answer(self, request: httputil.HTTPServerRequest, reply: CallerReply) -> None:
-        status = STATUS[reply.outcome]
+        status = STATUS_OF_OUTCOME[reply.outcome]
         if status is not HTTPStatus.OK:
             _logger.info(
                 "refused",
@@ -240,7 +241,7 @@
 
 
 def digest_of(headers: httputil.HTTPHeaders) -> bytes | None:
-    """Return the digest of the key that a request bears; ``None`` without one well-formed key."""
+    """Return the digest of a request's key; ``None`` unless it has exactly one well-formed key."""
     lines = headers.get_list(KEY_HEADER)
     if len(lines) != 1:
         return None
@@ -256,15 +257,15 @@
         deadline = float(request.headers.get(DEADLINE_HEADER, DEFAULT_DEADLINE_MS))
     except ValueError:
         deadline = DEFAULT_DEADLINE_MS
-    return max(0.0, deadline * DEADLINE_SHARE / MS)
+    return max(0.0, deadline * DEADLINE_SHARE / MS_PER_S)
 
 
 def _body(reply: CallerReply) -> bytes:
     if reply.outcome is not Outcome.DONE:
         path = reply.path
-        for own, told in FIELD_NAMES.items():
-            path = path.replace(own, told)
-        return _ENCODER.encode(_Fault(reply.reason, path))
+        for own, outer in PLATFORM_FIELD_NAMES.items():
+            path = path.replace(own, outer)
+        return _ENCODER.encode(_ErrorBody(reply.reason, path))
     if reply.waiting >= 0:
         return _ENCODER.encode({"waiting": reply.waiting})
     return _ENCODER.encode({"state": reply.state} if reply.state else {})
@@ -276,7 +277,7 @@
     body: bytes,
     headers: dict[str, str],
 ) -> None:
-    """Write a whole answer."""
+    """Write a complete response."""
     if request.connection is not None:
         _write(request.connection, status, body, headers)
 
@@ -295,18 +296,18 @@
 
 
 def ready_server(ready: Callable[[], bool]) -> EndingServer:
-    """Return the server that tells the platform whether this process takes callers."""
+    """Return the server that reports to the platform whether this process serves callers."""
 
     def answer(request: httputil.HTTPServerRequest) -> None:
-        well = ready() and request.path == READY_PATH
-        status = HTTPStatus.OK if well else HTTPStatus.SERVICE_UNAVAILABLE
+        is_ready = ready() and request.path == READY_PATH
+        status = HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE
         respond(request, status, b"{}", {"Content-Type": "application/json"})
 
     return EndingServer(answer)
 
 
 def metrics_server(member: Member, more: Callable[[], dict[str, float]]) -> EndingServer:
-    """Return the server that tells the process's own figures, with those that ``more`` gives."""
+    """Return the server of the process's metrics and the gauges that ``more`` returns."""
 
     def answer(request: httputil.HTTPServerRequest) -> None:
         accepts = request.headers.get_list("Accept")
--- a/src/sablemount/platform/main.py
+++ b/src/sablemount/platform/main.py
@@ -1,4 +1,4 @@
-"""A process of sablemount on the users' platform."""
+"""The process that runs sablemount on the users' platform."""
 
 import asyncio
 import gc
@@ -27,23 +27,23 @@
 
 EXIT_OK = 0
 EXIT_SETTINGS = 2
-CONNECTIONS = 24
-"""Connections to one address at most."""
-KEPT_SECONDS = 12.0
-"""How long a connection may idle and still be used."""
-STOP_SERVING = 2.4
-"""Seconds after the signal for which new connections are still served: the platform asks each
-second whether a process is ready, and takes it out at the second miss."""
-STOP_MARGIN = 0.8
-"""Seconds before the end of the grace at which the process ends in any case."""
-STOP_POLL = 0.05
-"""Seconds between looks at whether what is in flight has ended."""
+MAX_CONNECTIONS_PER_ADDRESS = 24
+"""Maximum number of connections to one address."""
+IDLE_TIMEOUT_S = 12.0
+"""Seconds for which an idle connection may be reused."""
+STOP_SERVING_S = 2.4
+"""Seconds after the stop signal for which new connections are still served: the platform checks
+readiness every second and removes a process after the second failed check."""
+STOP_MARGIN_S = 0.8
+"""Seconds before the end of the grace period at which the process ends in any case."""
+STOP_POLL_S = 0.05
+"""Seconds between checks of whether all calls in flight have ended."""
 
 _logger = logging.getLogger("sablemount.platform.main")
 
 
 class Process:
-    """Wires the product to the platform."""
+    """Connects the components of a member with the platform's adapters and runs them."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self.boot = boot
         self._log = log
         self._background = Background(error_logger(_logger))
-        self._pool = UpstreamPool(CONNECTIONS, KEPT_SECONDS)
+        self._pool = UpstreamPool(MAX_CONNECTIONS_PER_ADDRESS, IDLE_TIMEOUT_S)
         ports = LeaderPorts(
             PlatformStore(boot.platform.addr, self._pool),
             PlatformWorkers(self._pool),
@@ -64,11 +64,11 @@
         self.member = Member(member_settings(boot), ports, TcpNetwork(), random.Random())
         self.front = Front(self.member, self._background.spawn)
         self._ready = ready_server(lambda: self.member.ready)
-        self._metrics = metrics_server(self.member, self._log_figures)
+        self._metrics = metrics_server(self.member, self._log_gauges)
         self.metrics_port = metrics_port
         self._stop = asyncio.Event()
 
-    def _log_figures(self) -> dict[str, float]:
+    def _log_gauges(self) -> dict[str, float]:
         if self._log is None:
             return {}
         return {
@@ -77,7 +77,7 @@
         }
 
     async def run(self) -> int:
-        """Serve until the signal to stop."""
+        """Serve until the stop signal; return the exit code."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.request_stop)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
@@ -88,7 +88,7 @@
         _listen(self._metrics, f"{self.boot.ip}:{self.metrics_port}")
         _logger.info("started", extra={"node": self.boot.node_name})
         await self._stop.wait()
-        await self._wind_down()
+        await self._shut_down()
         return EXIT_OK
 
     def request_stop(self) -> None:
@@ -102,43 +102,44 @@
             _logger.error("settings refused", extra={"file": fault.file, "why": fault.reason})
             return
         self.boot = loaded.ok_value
-        _logger.info("settings read again", extra={"node": self.boot.node_name})
+        _logger.info("settings reloaded", extra={"node": self.boot.node_name})
 
-    async def _wind_down(self) -> None:
-        """Hand over, serve what still comes for a while, answer all that is in flight.
+    async def _shut_down(self) -> None:
+        """Hand over leadership, serve new calls for a while, and answer all calls in flight.
 
-        The process leaves once no caller is connected, or as its grace ends.
+        The process ends once no caller is connected, or at the end of its grace period.
         """
-        started = monotonic()
+        started_at = monotonic()
         _logger.info("stopping", extra={"in_flight": self.front.in_flight})
         self.front.close_after_answers()
-        handing_over = self._background.spawn(self.member.stop())
-        last = started + self.boot.bounds.grace_s - STOP_MARGIN
-        while monotonic() < last:
-            if monotonic() - started > STOP_SERVING:
+        handover = self._background.spawn(self.member.stop())
+        deadline = started_at + self.boot.bounds.grace_s - STOP_MARGIN_S
+        while monotonic() < deadline:
+            if monotonic() - started_at > STOP_SERVING_S:
                 self.front.refuse()
-                if handing_over.done() and self.front.served_out:
+                if handover.done() and self.front.served_out:
                     break
-            await asyncio.sleep(STOP_POLL)
-        await self._end(handing_over)
+            await asyncio.sleep(STOP_POLL_S)
+        await self._close(handover)
 
-    async def _end(self, handing_over: "asyncio.Task[None]") -> None:
-        """Answer what is in flight and what may be on its way, and close."""
-        if not handing_over.done():
+    async def _close(self, handover: "asyncio.Task[None]") -> None:
+        """Answer calls in flight and those still on their way, then close."""
+        if not handover.done():
             leader = self.member.leader
             epoch = None if leader is None else leader.epoch
-            _logger.warning("hand-over cut short", extra={"epoch": epoch})
-            handing_over.cancel()
+            _logger.warning("handover did not finish in time", extra={"epoch": epoch})
+            handover.cancel()
         self.front.cut_short()
-        left = {
+        closed = {
             "callers": self.front.server.end(),
             "ready": self._ready.end(),
             "metrics": self._metrics.end(),
         }
-        # What is sent by now reaches its caller; what is not read would have it reset.
-        await asyncio.sleep(STOP_POLL)
+        # Requests on their way are still read and answered: closing a connection with unread
+        # data would reset it, and its caller would lose the response.
+        await asyncio.sleep(STOP_POLL_S)
         self.member.close()
-        _logger.info("stopped", extra={"in_flight": self.front.in_flight, "ended": left})
+        _logger.info("stopped", extra={"in_flight": self.front.in_flight, "ended": closed})
 
 
 def _listen(server: object, address: str) -> None:
@@ -147,19 +148,19 @@
 
 
 async def serve(boot: BootSettings, log: structured_logs.BoundedHandler | None = None) -> int:
-    """Run a process with its settings and return its exit code."""
+    """Run a process with the given settings and return its exit code."""
     return await Process(boot, log=log).run()
 
 
 def main() -> int:
-    """Run the process that the platform has placed settings for."""
+    """Run a process with the settings file that the platform provides."""
     log = structured_logs.configure()
     loaded = load()
     if isinstance(loaded, Err):
         fault = loaded.err_value
         _logger.error("settings refused", extra={"file": fault.file, "why": fault.reason})
         return EXIT_SETTINGS
-    # What the imports made lives as long as the process; collections need not look at it.
+    # Objects made by imports live as long as the process: exclude them from garbage collection.
     gc.freeze()
     return boottime.run(serve(loaded.ok_value, log))
 
--- a/src/sablemount/platform/settings.py
+++ b/src/sablemount/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform places for each process."""
+"""The settings file that the platform provides for each process."""
 
 import os
 from pathlib import Path
@@ -14,28 +14,28 @@
 
 PATH_VARIABLE = "SABLEMOUNT_BOOT"
 METRICS_PORT = 9464
-"""Where a process tells its own figures; the deploy file names the same port."""
-LONGEST_LEASE = 6.0
-"""Seconds: what ran on a silent worker starts elsewhere only after its lease, and a change of
-leader takes about one second."""
+"""Port of a process's metrics; the deployment file names the same port."""
+MAX_LEASE_S = 6.0
+"""Longest lease of a run, in seconds. The tasks of a silent worker start elsewhere only after
+their lease has expired; a change of leader takes about one second."""
 TENANTS_CONTRACT = "tenants"
-"""Part of the rules under which callers have to show keys."""
-MS = 1000.0
+"""Contract under which callers have to present keys."""
+MS_PER_S = 1000.0
 
 
-class _Wire(msgspec.Struct, frozen=True, rename="camel"):
-    """Base of what the platform writes; unknown fields are ignored."""
+class _PlatformStruct(msgspec.Struct, frozen=True, rename="camel"):
+    """Base of the types that the platform writes; unknown fields are ignored."""
 
 
-class Listen(_Wire, frozen=True):
-    """Addresses on which the process is called from outside."""
+class Listen(_PlatformStruct, frozen=True):
+    """Addresses on which the process serves callers and readiness checks."""
 
     front: str
     ready: str
 
 
-class Bounds(_Wire, frozen=True):
-    """Figures of the rules that the product needs."""
+class Bounds(_PlatformStruct, frozen=True):
+    """Limits from the platform's rules that the product has to meet."""
 
     hold_max_ms: float = 6000
     stop_ms: float = 400
@@ -47,8 +47,8 @@
     quota_overage: float = 0.0
 
 
-class Limits(_Wire, frozen=True):
-    """What the machine gives: ``cores`` times as fast, for ``cpu_share`` of the time."""
+class Limits(_PlatformStruct, frozen=True):
+    """Limits of the machine: ``cores`` times the usual speed, for ``cpu_share`` of the time."""
 
     cpu_share: float = 1.0
     cores: float = 1.0
@@ -57,16 +57,16 @@
     link_mbps: float = 0.0
 
 
-class Service(_Wire, frozen=True):
-    """Where the store answers, and how many bytes it takes in a record and in a call."""
+class Service(_PlatformStruct, frozen=True):
+    """Address of the store, and how many bytes it accepts in a record and in a call."""
 
     addr: str
     record_bytes: int = msgspec.field(name="record_bytes", default=JobSettings().record_bytes)
     call_bytes: int = msgspec.field(name="call_bytes", default=JobSettings().call_bytes)
 
 
-class BootSettings(_Wire, frozen=True):
-    """What a process is told at its start."""
+class BootSettings(_PlatformStruct, frozen=True):
+    """Settings of a process."""
 
     node_name: str
     ip: str
@@ -80,19 +80,19 @@
 
     @property
     def keyed(self) -> bool:
-        """Tell whether callers have to show keys."""
+        """Return whether callers have to present keys."""
         return TENANTS_CONTRACT in self.contracts
 
 
 class SettingsFault(msgspec.Struct, frozen=True):
-    """What is wrong with a settings file."""
+    """Why a settings file was rejected."""
 
     file: str
     reason: str
 
 
 def load() -> Result[BootSettings, SettingsFault]:
-    """Read the file that the environment names."""
+    """Read the settings file that the environment variable names."""
     name = os.environ.get(PATH_VARIABLE, "")
     if not name:
         return Err(SettingsFault("-", f"the variable {PATH_VARIABLE} is not set"))
@@ -106,20 +106,20 @@
 
 
 def member_settings(boot: BootSettings) -> MemberSettings:
-    """Translate into the product's settings."""
+    """Convert to the product's settings."""
     bounds = boot.bounds
     jobs = JobSettings(
-        lease=min(bounds.hold_max_ms / MS, LONGEST_LEASE),
-        stop_time=bounds.stop_ms / MS,
+        lease=min(bounds.hold_max_ms / MS_PER_S, MAX_LEASE_S),
+        stop_time=bounds.stop_ms / MS_PER_S,
         state_kept=bounds.status_s,
-        restore=bounds.restore_ms / MS,
+        restore=bounds.restore_ms / MS_PER_S,
         cap_overage=bounds.quota_overage,
         record_bytes=boot.platform.record_bytes,
         call_bytes=boot.platform.call_bytes,
     )
-    given = boot.limits
+    machine = boot.limits
     limits = MachineLimits(
-        given.cpu_share * given.cores, given.link_mbps, given.max_fds, given.memory_mb
+        machine.cpu_share * machine.cores, machine.link_mbps, machine.max_fds, machine.memory_mb
     )
     return MemberSettings(
         boot.node_name,
@@ -127,5 +127,5 @@
         jobs,
         limits,
         bounds.fail_closed,
-        bounds.revoke_ms / MS,
+        bounds.revoke_ms / MS_PER_S,
     )
