--- a/src/sablemount/platform/store.py
+++ b/src/sablemount/platform/store.py
@@ -1,7 +1,7 @@
-"""The platform's store: an HTTP interface to topics of raw records.
+"""Adapter to the platform's store: an HTTP interface to topics of raw records.
 
-Others write to some of the topics, and their keys and values may be any bytes. Bytes of a key that
-are no text are kept as surrogate escapes, so that reading goes on after them.
+Others write to some of the topics, and their keys and values may be arbitrary bytes. Bytes of a key
+that are not valid UTF-8 are decoded as surrogate escapes, so that reading can continue after them.
 """
 
 import base64
@@ -38,22 +38,24 @@
     Topic.VMS: "keyed.servers",
     Topic.CONFIGURATION: "keyed.op",
 }
-PART = 0
+PARTITION = 0
 LENGTH_BYTES = 4
 OFFSET_BYTES = 8
-READ_SLACK = 0.8
-"""Seconds beyond its wait in which a read's answer begins, and that may lie between its parts."""
+READ_MARGIN_S = 0.8
+"""Seconds beyond its wait within which the response to a read has to begin, and the longest gap
+between its parts."""
 OK = 200
 CONFLICT = 409
 GONE = 410
 PRECONDITION = 412
-SERVER_REFUSALS = (400, 403, 429, 503, 507)
-"""Answers that say that nothing was done."""
-MS = 1000
-ANY_BYTES = "surrogateescape"
+REFUSAL_STATUSES = (400, 403, 429, 503, 507)
+"""Statuses that mean that nothing was written."""
+MS_PER_S = 1000
+KEY_ERRORS = "surrogateescape"
+"""Error handler for decoding and encoding keys, which keeps bytes that are not valid UTF-8."""
 
 
-class _Refusal(msgspec.Struct, frozen=True):
+class _AppendReply(msgspec.Struct, frozen=True):
     reason: str = ""
     epoch: int = 0
     seq: int = 0
@@ -72,12 +74,12 @@
     more: bool = False
 
 
-_REFUSAL = msgspec.json.Decoder(_Refusal)
+_APPEND_REPLY = msgspec.json.Decoder(_AppendReply)
 _NEWEST = msgspec.json.Decoder(_Newest)
 
 
 def encode_records(records: list[Record]) -> bytes:
-    """Encode keyed records as the store takes them."""
+    """Encode keyed records in the store's format."""
     parts = []
     for record in records:
         key = record.key.encode()
@@ -88,7 +90,7 @@
 
 
 def decode_records(payload: bytes) -> Iterator[Record]:
-    """Decode keyed records; raises ``ValueError`` if they are cut short."""
+    """Decode keyed records; raise ``ValueError`` if they are truncated."""
     position = 0
     while position < len(payload):
         start = position + LENGTH_BYTES
@@ -97,11 +99,11 @@
         if position > len(payload) or not body or len(body) <= body[0]:
             raise ValueError("a record is cut short")
         key_end = 1 + body[0]
-        yield Record(body[1:key_end].decode(errors=ANY_BYTES), body[key_end:])
+        yield Record(body[1:key_end].decode(errors=KEY_ERRORS), body[key_end:])
 
 
 class PlatformStore:
-    """Implements the product's store."""
+    """Implements the product's store port with the platform's store."""
 
     def __init__(self, address: str, pool: UpstreamPool) -> None:
         self._address = address
@@ -115,30 +117,30 @@
         producer: Producer | None = None,
         at: int | None = None,
     ) -> AppendResult:
-        """Append records, all or none."""
-        path = f"/api/log-append?topic={TOPICS[topic]}&part={PART}"
+        """Append all records or none."""
+        path = f"/api/log-append?topic={TOPICS[topic]}&part={PARTITION}"
         if producer is not None:
             path += f"&producer={producer.name}&epoch={producer.epoch}&seq={producer.sequence}"
         if at is not None:
             path += f"&at={at}"
-        answer = await self._call("POST", path, encode_records(records), timeout)
-        return answer if isinstance(answer, Unavailable) else _appended(answer)
+        response = await self._call("POST", path, encode_records(records), timeout)
+        return response if isinstance(response, Unavailable) else _append_result(response)
 
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
-        """Return a page of the newest records."""
-        path = f"/api/log-newest?topic={TOPICS[topic]}&part={PART}"
+        """Return a page of the newest record of each key, in order of the keys after ``after``."""
+        path = f"/api/log-newest?topic={TOPICS[topic]}&part={PARTITION}"
         if after:
             path += f"&dependsOn={_quoted(after)}"
-        parts = None if progress is None else Parts(timeout, progress.arrived)
-        answer = await self._call("GET", path, b"", timeout, parts=parts)
-        if isinstance(answer, Unavailable):
-            return answer
-        if answer.status != OK:
-            return Unavailable(f"status {answer.status}")
+        streaming = None if progress is None else Parts(timeout, progress.arrived)
+        response = await self._call("GET", path, b"", timeout, streaming=streaming)
+        if isinstance(response, Unavailable):
+            return response
+        if response.status != OK:
+            return Unavailable(f"status {response.status}")
         try:
-            newest = _decode_newest(answer.body)
+            newest = _decode_newest(response.body)
         except ValueError as error:
             return Unavailable(f"undecodable: {error}")
         items = [PageItem(Record(item.key, _value(item)), item.offset) for item in newest.items]
@@ -147,19 +149,19 @@
     async def read(
         self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
     ) -> ReadResult:
-        """Return what follows an offset."""
-        path = f"/api/log-read?topic={TOPICS[topic]}&part={PART}&from={offset}"
-        path += f"&waitMs={int(wait * MS)}"
-        parts = None if progress is None else Parts(READ_SLACK, progress.arrived)
-        answer = await self._call("GET", path, b"", wait + READ_SLACK, wait, parts)
-        if isinstance(answer, Unavailable):
-            return answer
-        if answer.status == GONE:
+        """Return the records from an offset on; wait up to ``wait`` seconds for one."""
+        path = f"/api/log-read?topic={TOPICS[topic]}&part={PARTITION}&from={offset}"
+        path += f"&waitMs={int(wait * MS_PER_S)}"
+        streaming = None if progress is None else Parts(READ_MARGIN_S, progress.arrived)
+        response = await self._call("GET", path, b"", wait + READ_MARGIN_S, wait, streaming)
+        if isinstance(response, Unavailable):
+            return response
+        if response.status == GONE:
             return Trimmed()
-        if answer.status != OK:
-            return Unavailable(f"status {answer.status}")
+        if response.status != OK:
+            return Unavailable(f"status {response.status}")
         try:
-            records = list(decode_records(answer.body[2 * OFFSET_BYTES :]))
+            records = list(decode_records(response.body[2 * OFFSET_BYTES :]))
         except ValueError as error:
             return Unavailable(f"undecodable: {error}")
         return Records(records, offset + len(records))
@@ -171,12 +173,12 @@
         body: bytes,
         timeout: float,
         waits: float = 0.0,
-        parts: Parts | None = None,
+        streaming: Parts | None = None,
     ) -> Answer | Unavailable:
-        """Call the store, which is asked to hold its answer back for some seconds."""
+        """Call the store, which may delay its response by up to ``waits`` seconds."""
         try:
             return await self._pool.fetch(
-                self._address, path, body, {}, timeout, method=method, waits=waits, parts=parts
+                self._address, path, body, {}, timeout, method=method, waits=waits, parts=streaming
             )
         except NotSent as error:
             return Unavailable(str(error), certain=True)
@@ -185,16 +187,16 @@
 
 
 def _decode_newest(body: bytes) -> _Newest:
-    """Decode a page, also one with keys that are no text; raises ``ValueError``."""
+    """Decode a page, even if some of its keys are not valid UTF-8; raise ``ValueError``."""
     try:
         return _NEWEST.decode(body)
     except msgspec.DecodeError:
-        # The strict decoder takes no such key, and one would hide all others of its page.
-        return msgspec.convert(json.loads(body.decode(errors=ANY_BYTES)), _Newest)
+        # The strict decoder rejects such a key, and with it all other keys of the page.
+        return msgspec.convert(json.loads(body.decode(errors=KEY_ERRORS)), _Newest)
 
 
 def _value(item: _Item) -> bytes:
-    """Return an item's value; as it stands if it is not encoded as it has to be."""
+    """Return an item's decoded value; its raw text if it is not valid base64."""
     try:
         return base64.b64decode(item.value, validate=True)
     except ValueError:
@@ -202,26 +204,26 @@
 
 
 def _quoted(key: str) -> str:
-    """Return a key as it stands in a query, whatever its bytes are."""
+    """Quote a key for a query string, whatever its bytes are."""
     try:
-        return quote(key.encode(errors=ANY_BYTES))
+        return quote(key.encode(errors=KEY_ERRORS))
     except UnicodeEncodeError:
         return quote(key.encode(errors="surrogatepass"))
 
 
-def _appended(answer: Answer) -> AppendResult:
-    if answer.status in SERVER_REFUSALS:
-        return Unavailable(f"status {answer.status}", certain=True)
+def _append_result(response: Answer) -> AppendResult:
+    if response.status in REFUSAL_STATUSES:
+        return Unavailable(f"status {response.status}", certain=True)
     try:
-        told = _REFUSAL.decode(answer.body)
+        reply = _APPEND_REPLY.decode(response.body)
     except msgspec.DecodeError as error:
         return Unavailable(f"undecodable: {error}")
-    if answer.status == OK:
-        return Appended(told.end)
-    if answer.status == PRECONDITION:
-        return Conflict(told.end)
-    if answer.status == CONFLICT and told.reason == "fenced":
-        return Fenced(told.epoch)
-    if answer.status == CONFLICT and told.reason == "seq":
-        return WrongSequence(told.seq)
-    return Unavailable(f"status {answer.status}")
+    if response.status == OK:
+        return Appended(reply.end)
+    if response.status == PRECONDITION:
+        return Conflict(reply.end)
+    if response.status == CONFLICT and reply.reason == "fenced":
+        return Fenced(reply.epoch)
+    if response.status == CONFLICT and reply.reason == "seq":
+        return WrongSequence(reply.seq)
+    return Unavailable(f"status {response.status}")
--- a/src/sablemount/platform/workers.py
+++ b/src/sablemount/platform/workers.py
@@ -1,4 +1,4 @@
-"""The platform's workers: orders and looks over HTTP."""
+"""Adapters to the platform's workers and advice service, over HTTP."""
 
 from collections.abc import Sequence
 
@@ -25,8 +25,8 @@
 INSTANCE_HEADER = "Expect-Instance"
 OK = 200
 CONFLICT = 409
-OTHER_LIFE = 421
-UNHEALTHY = (429, 503)
+WRONG_INCARNATION_STATUS = 421
+UNHEALTHY_STATUSES = (429, 503)
 FENCE = "fence"
 REFUSALS = {
     "old": StartRefusal.OLD,
@@ -34,7 +34,7 @@
     "room": StartRefusal.ROOM,
     "ticket": StartRefusal.TICKET,
 }
-MS = 1000
+MS_PER_S = 1000
 
 
 class _Start(msgspec.Struct, frozen=True, rename="camel", omit_defaults=True):
@@ -67,14 +67,14 @@
     wait_ms: int = 0
 
 
-class _Held(msgspec.Struct, frozen=True, rename="camel"):
+class _HoldReply(msgspec.Struct, frozen=True, rename="camel"):
     clock_ms: float
     running: tuple[RunReport, ...] = ()
     ended: tuple[EndReport, ...] = ()
     born: int = 0
 
 
-class _Answer(msgspec.Struct, frozen=True, rename="camel"):
+class _Reply(msgspec.Struct, frozen=True, rename="camel"):
     clock_ms: float = 0.0
     reason: str = ""
 
@@ -84,45 +84,45 @@
     workers: Sequence[str]
 
 
-class _Advised(msgspec.Struct, frozen=True, rename="camel"):
+class _AdviseReply(msgspec.Struct, frozen=True, rename="camel"):
     good: tuple[tuple[str, str], ...] = ()
     valid_ms: float = 0.0
 
 
 _ENCODER = msgspec.json.Encoder()
-_HELD = msgspec.json.Decoder(_Held)
-_ANSWER = msgspec.json.Decoder(_Answer)
-_ADVISED = msgspec.json.Decoder(_Advised)
+_HOLD_REPLY = msgspec.json.Decoder(_HoldReply)
+_REPLY = msgspec.json.Decoder(_Reply)
+_ADVISE_REPLY = msgspec.json.Decoder(_AdviseReply)
 
 
 class PlatformWorkers:
-    """Implements the product's VM port."""
+    """Implements the product's VM port with the platform's workers."""
 
     def __init__(self, pool: UpstreamPool) -> None:
         self._pool = pool
 
     async def hold(self, call: HoldCall, timeout: float) -> HoldResult:
-        """Hold and look."""
-        body = _Hold(call.fence, call.acked_completion, call.until_ms, int(call.wait * MS))
+        """Extend leases, acknowledge completions and return the worker's report."""
+        body = _Hold(call.fence, call.acked_completion, call.until_ms, int(call.wait * MS_PER_S))
         sent_at = monotonic()
-        answer = await self._call(call.address, "/api/hold", body, call.vm, timeout, call.wait)
-        if isinstance(answer, CallError):
-            return answer
-        if answer.status != OK:
-            return _error(answer)
+        response = await self._call(call.address, "/api/hold", body, call.vm, timeout, call.wait)
+        if isinstance(response, CallError):
+            return response
+        if response.status != OK:
+            return _error(response)
         try:
-            held = _HELD.decode(answer.body)
+            reply = _HOLD_REPLY.decode(response.body)
         except msgspec.DecodeError:
             return CallError.NO_ANSWER
-        answers = life_name(entry_of(call.vm), held.born)
-        if held.born and answers != call.vm:
-            return OtherLife(answers, held.born)
-        return Heard(call.vm, sent_at, held.clock_ms, held.running, held.ended)
+        answered_by = life_name(entry_of(call.vm), reply.born)
+        if reply.born and answered_by != call.vm:
+            return OtherLife(answered_by, reply.born)
+        return Heard(call.vm, sent_at, reply.clock_ms, reply.running, reply.ended)
 
     async def start(
         self, action: StartRun, address: str, fence: int, until_ms: int, timeout: float
     ) -> StartResult:
-        """Start a run."""
+        """Start a run; return when it started or why it was refused."""
         body = _Start(
             action.task,
             action.run,
@@ -132,53 +132,57 @@
             action.saved,
             action.ticket,
         )
-        answer = await self._call(address, "/api/run-start", body, action.vm, timeout)
-        if isinstance(answer, CallError):
-            return answer
-        if answer.status in UNHEALTHY:
+        response = await self._call(address, "/api/run-start", body, action.vm, timeout)
+        if isinstance(response, CallError):
+            return response
+        if response.status in UNHEALTHY_STATUSES:
             return StartRefusal.UNHEALTHY
         try:
-            told = _ANSWER.decode(answer.body)
+            reply = _REPLY.decode(response.body)
         except msgspec.DecodeError:
-            told = _Answer()
-        if answer.status == OK:
-            return Started(told.clock_ms)
-        if answer.status == CONFLICT and told.reason != FENCE:
-            return REFUSALS.get(told.reason, StartRefusal.REJECTED)
-        return _error(answer) if answer.status in (CONFLICT, OTHER_LIFE) else StartRefusal.REJECTED
+            reply = _Reply()
+        if response.status == OK:
+            return Started(reply.clock_ms)
+        if response.status == CONFLICT and reply.reason != FENCE:
+            return REFUSALS.get(reply.reason, StartRefusal.REJECTED)
+        return (
+            _error(response)
+            if response.status in (CONFLICT, WRONG_INCARNATION_STATUS)
+            else StartRefusal.REJECTED
+        )
 
     async def stop(
         self, action: StopRun, address: str, fence: int, timeout: float
     ) -> CallError | None:
         """Stop a run."""
         body = _Stop(action.task, action.run, fence)
-        return await self._order(address, "/api/run-stop", body, action.vm, timeout)
+        return await self._send_command(address, "/api/run-stop", body, action.vm, timeout)
 
     async def pace(
         self, action: PaceRun, address: str, fence: int, timeout: float
     ) -> CallError | None:
-        """Pace a run."""
+        """Throttle a run to a percentage of its speed."""
         body = _Pace(action.task, action.run, action.percent, fence)
-        return await self._order(address, "/api/pace", body, action.vm, timeout)
+        return await self._send_command(address, "/api/pace", body, action.vm, timeout)
 
-    async def _order(
-        self, address: str, path: str, body: msgspec.Struct, life: str, timeout: float
+    async def _send_command(
+        self, address: str, path: str, body: msgspec.Struct, incarnation: str, timeout: float
     ) -> CallError | None:
-        answer = await self._call(address, path, body, life, timeout)
-        if isinstance(answer, CallError):
-            return answer
-        return None if answer.status == OK else _error(answer)
+        response = await self._call(address, path, body, incarnation, timeout)
+        if isinstance(response, CallError):
+            return response
+        return None if response.status == OK else _error(response)
 
     async def _call(
         self,
         address: str,
         path: str,
         body: msgspec.Struct,
-        life: str,
+        incarnation: str,
         timeout: float,
         waits: float = 0.0,
     ) -> Answer | CallError:
-        headers = {INSTANCE_HEADER: entry_of(life), "Content-Type": "application/json"}
+        headers = {INSTANCE_HEADER: entry_of(incarnation), "Content-Type": "application/json"}
         encoded = _ENCODER.encode(body)
         try:
             return await self._pool.fetch(address, path, encoded, headers, timeout, waits=waits)
@@ -188,43 +192,47 @@
             return CallError.NO_ANSWER
 
 
-def _error(answer: Answer) -> CallError:
-    if answer.status == OTHER_LIFE:
+def _error(response: Answer) -> CallError:
+    if response.status == WRONG_INCARNATION_STATUS:
         return CallError.OTHER_INCARNATION
     try:
-        told = _ANSWER.decode(answer.body)
+        reply = _REPLY.decode(response.body)
     except msgspec.DecodeError:
         return CallError.NO_ANSWER
-    fenced = answer.status == CONFLICT and told.reason == FENCE
+    fenced = response.status == CONFLICT and reply.reason == FENCE
     return CallError.FENCED if fenced else CallError.NO_ANSWER
 
 
 class PlatformAdvice:
-    """Implements the product's advice port."""
+    """Implements the product's advice port with the platform's advice service."""
 
     def __init__(self, address: str | None, pool: UpstreamPool) -> None:
         self._address = address
         self._pool = pool
 
     async def advise(self, step: str, workers: Sequence[str], timeout: float) -> AdviceReply:
-        """Ask for some workers."""
+        """Ask which of some workers are suitable for a step."""
         if self._address is None:
             return AdviceReply(False)
-        lives: dict[str, list[str]] = {}
-        for life in workers:
-            lives.setdefault(entry_of(life), []).append(life)
-        body = _ENCODER.encode(_Advise(step, list(lives)))
+        incarnations: dict[str, list[str]] = {}
+        for incarnation in workers:
+            incarnations.setdefault(entry_of(incarnation), []).append(incarnation)
+        body = _ENCODER.encode(_Advise(step, list(incarnations)))
         headers = {"Content-Type": "application/json"}
         try:
-            # The service works on one call at a time and takes long for some.
-            answer = await self._pool.fetch(
+            # The service processes one call at a time and takes long for some calls.
+            response = await self._pool.fetch(
                 self._address, "/api/advise", body, headers, timeout, waits=timeout
             )
-            if answer.status != OK:
+            if response.status != OK:
                 return AdviceReply(False)
-            told = _ADVISED.decode(answer.body)
+            reply = _ADVISE_REPLY.decode(response.body)
         except (NotSent, CutShort, msgspec.DecodeError):
             return AdviceReply(False)
-        # A life that is over may be asked for beside the present one, whose ticket it is.
-        good = {life: ticket for worker, ticket in told.good for life in lives.get(worker, ())}
-        return AdviceReply(True, good, told.valid_ms)
+        # A terminated incarnation may be named beside the current one, to which the ticket belongs.
+        good = {
+            incarnation: ticket
+            for worker, ticket in reply.good
+            for incarnation in incarnations.get(worker, ())
+        }
+        return AdviceReply(True, good, reply.valid_ms)
