--- a/tests/platform/crossing.py
+++ b/tests/platform/crossing.py
@@ -1,51 +1,51 @@
-"""What may become of a write on its way from a process to the stand-in's store."""
+"""Faults of writes on their way from a process to the stand-in's store."""
 
 import asyncio
 import random
 from collections.abc import Callable
 
-__all__ = ["NO_ANSWER", "SILENCE", "Crossing"]
+__all__ = ["CONNECTION_CLOSED", "NO_RESPONSE", "Crossing"]
 
-NO_ANSWER = 0
-"""Stands for a status: the connection ends without an answer."""
-SILENCE = -1
-"""Stands for a status: the connection stays open and says nothing further."""
-DEFERRED = (0.5, 6.0)
-"""Seconds after which a write whose caller has no answer is carried out."""
+CONNECTION_CLOSED = 0
+"""In place of a status: the connection is closed without a response."""
+NO_RESPONSE = -1
+"""In place of a status: the connection stays open, but no response is sent."""
+DEFERRAL_RANGE_S = (0.5, 6.0)
+"""Range of seconds after which a deferred write is executed; its caller gets no response."""
 
-Answer = tuple[int, object]
+Response = tuple[int, object]
 
 
 class Crossing:
-    """The faults in force between the processes and the store, for writes alone.
+    """The active faults of writes to the store; reads are not affected.
 
-    The calls of one process use connections of their own, so that a write that is late is overtaken
-    by those after it.
+    Concurrent calls of one process use separate connections, so that later writes can overtake a
+    delayed one.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self.late = 0.0
-        """Seconds by which a write arrives late at most."""
+        """Maximum delay of a write in seconds."""
         self.dropped = 0.0
-        """Share of the writes that never arrive."""
+        """Fraction of the writes that never arrive."""
         self.deferred = 0.0
-        """Share of the writes that are carried out seconds later, and never answered."""
+        """Fraction of the writes that are executed seconds later and never answered."""
 
     def calm(self) -> None:
-        """Let all writes arrive in time again."""
+        """Clear all faults."""
         self.late = self.dropped = self.deferred = 0.0
 
-    async def write(self, carry_out: Callable[[], Answer]) -> Answer:
-        """Carry a write out, or not, as the faults will have it."""
+    async def write(self, carry_out: Callable[[], Response]) -> Response:
+        """Execute a write, or drop or delay it, according to the active faults."""
         if self._rng.random() < self.dropped:
             return self._unanswered()
         if self._rng.random() < self.deferred:
-            asyncio.get_running_loop().call_later(self._rng.uniform(*DEFERRED), carry_out)
+            asyncio.get_running_loop().call_later(self._rng.uniform(*DEFERRAL_RANGE_S), carry_out)
             return self._unanswered()
         if self.late:
             await asyncio.sleep(self._rng.uniform(0.0, self.late))
         return carry_out()
 
-    def _unanswered(self) -> Answer:
-        return self._rng.choice((NO_ANSWER, SILENCE)), {}
+    def _unanswered(self) -> Response:
+        return self._rng.choice((CONNECTION_CLOSED, NO_RESPONSE)), {}
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -1,6 +1,7 @@
-"""A stand-in of the published pages: store, workers and advice over HTTP on the loopback address.
+"""A stand-in for the platform: store, workers and advice service over HTTP, as it documents them.
 
-It keeps its state in the emulated store and cell; here is only what is spoken.
+It listens on the loopback address. Its state is that of the emulated store and cell; this module
+only implements the protocols.
 """
 
 import asyncio
@@ -37,75 +38,75 @@
 from tests.emulator.vm import Vm
 from tests.emulator.vm_ports import ACTS, Act, Told
 from tests.emulator.vms import Cell, loop_time
-from tests.platform.crossing import NO_ANSWER, SILENCE, Crossing
+from tests.platform.crossing import CONNECTION_CLOSED, NO_RESPONSE, Crossing
 from tests.platform.links import Link
 
-Answering = Callable[[httputil.HTTPServerRequest], Awaitable[tuple[int, object]]]
-BY_NAME = {name: topic for topic, name in TOPICS.items()}
+Handler = Callable[[httputil.HTTPServerRequest], Awaitable[tuple[int, object]]]
+TOPIC_OF_NAME = {name: topic for topic, name in TOPICS.items()}
 SERVICE = "desk"
 HOST = "queues.example"
 PREFIX = "/lohu930/"
 HOST_ADDRESS = "127.0.0.1"
 CAPACITY = Shape(16_000, 65_536, 0)
-LATE_ORDER = (0.5, 8.0)
-"""Seconds after which an order whose sender has no answer is carried out."""
-MAX_NAMED = 100
-ANY_BYTES = "surrogateescape"
-"""How a key of another writer that is no text is kept."""
+LATE_COMMAND_RANGE_S = (0.5, 8.0)
+"""Range of seconds after which a late command is executed; its sender gets no response."""
+MAX_ADVISED_WORKERS = 100
+KEY_ERRORS = "surrogateescape"
+"""Error handler for keys that other writers wrote and that are not valid UTF-8."""
 
 
 class Standin:
-    """The platform that a process of the product is started against."""
+    """The platform that processes of the product are started against in tests."""
 
     def __init__(self) -> None:
         self.store = StoreState(random.Random(1))
         self.crossing = Crossing(random.Random(3))
         self.page = 2
-        """Records in one page of the newest ones: few, so that little data has several pages."""
+        """Records in a page of the newest ones: few, so that a small data set has several pages."""
         self.cell = Cell(random.Random(2))
-        self.cell.on_crash = self._crashed
+        self.cell.on_crash = self._on_crash
         self.cell.fail_share = 0.0
         self.cell.advised = True
         self.cell.seconds = 0.1
         self.seen: list[str] = []
-        self.tails: dict[str, float] = {}
-        """Tail in ms that a serving task of a job tells, by the job."""
-        self.paced: dict[str, int] = {}
-        """Percent that a task was last given."""
+        self.tail_latency_ms: dict[str, float] = {}
+        """Tail latency in ms that the latency-sensitive tasks of a job report, by the job."""
+        self.throttle_percent: dict[str, int] = {}
+        """Percentage to which a task was last throttled, by the task."""
         self.ids_stay = False
-        """Whether workers that tasks crash start again under their ids."""
-        self._servers: list[HTTPServer] = []
-        self._server_of: dict[str, HTTPServer] = {}
+        """Whether workers that are crashed by tasks restart under the same id."""
+        self._http_servers: list[HTTPServer] = []
+        self._worker_servers: dict[str, HTTPServer] = {}
         self._addresses: dict[str, str] = {}
         self.links: dict[str, Link] | None = None
-        """What passes calls on to each worker, by its life, if any does: ``{}`` from the start."""
+        """Proxies of the workers, by incarnation; ``None`` for none, ``{}`` to create them."""
         self._tasks: set[asyncio.Future[None]] = set()
         self.store_address = self._listen(self._store)
         self.advice_address = self._listen(self._advice)
 
     def close(self) -> None:
-        for server in self._servers:
+        for server in self._http_servers:
             server.stop()
         for link in (self.links or {}).values():
             link.close()
 
-    def _listen(self, handler: Answering, listening: socket.socket | None = None) -> str:
-        def take(request: httputil.HTTPServerRequest) -> None:
+    def _listen(self, handler: Handler, listening: socket.socket | None = None) -> str:
+        def accept(request: httputil.HTTPServerRequest) -> None:
             self._tasks.add(asyncio.ensure_future(self._serve(handler, request)))
 
-        server = HTTPServer(take)
+        server = HTTPServer(accept)
         listening = listening or bind_unused_port()[0]
         server.add_sockets([listening])
-        self._servers.append(server)
+        self._http_servers.append(server)
         return f"{HOST_ADDRESS}:{listening.getsockname()[1]}"
 
-    async def _serve(self, handler: Answering, request: httputil.HTTPServerRequest) -> None:
+    async def _serve(self, handler: Handler, request: httputil.HTTPServerRequest) -> None:
         self.seen.append(f"{request.method} {request.path}")
         status, body = await handler(request)
-        if status == SILENCE:
+        if status == NO_RESPONSE:
             return
         payload = body if isinstance(body, bytes) else json.dumps(body).encode()
-        if status == NO_ANSWER:
+        if status == CONNECTION_CLOSED:
             request.connection.detach().close()
         else:
             respond(request, HTTPStatus(status), payload, {})
@@ -116,14 +117,14 @@
         if self.store.down:
             return 503, {}
         await asyncio.sleep(self.store.latency)
-        answer = await self._kept(request)
-        lost = self.store.rng.random() < self.store.lost
-        return (SILENCE, {}) if lost else answer
-
-    async def _kept(self, request: httputil.HTTPServerRequest) -> tuple[int, object]:
-        asked = parse_qs(urlsplit(request.uri).query, errors=ANY_BYTES)
-        query = {key: values[0] for key, values in asked.items()}
-        topic = BY_NAME[query["topic"]]
+        response = await self._call_store(request)
+        response_lost = self.store.rng.random() < self.store.lost
+        return (NO_RESPONSE, {}) if response_lost else response
+
+    async def _call_store(self, request: httputil.HTTPServerRequest) -> tuple[int, object]:
+        fields = parse_qs(urlsplit(request.uri).query, errors=KEY_ERRORS)
+        query = {key: values[0] for key, values in fields.items()}
+        topic = TOPIC_OF_NAME[query["topic"]]
         if request.path == "/api/log-append":
             return await self.crossing.write(lambda: self._append(topic, query, request.body))
         if request.path == "/api/log-newest":
@@ -169,7 +170,7 @@
             return 410, {"first": kept.first}
         body = kept.end.to_bytes(8, "big") + kept.first.to_bytes(8, "big")
         for record in found.records:
-            key = record.key.encode(errors=ANY_BYTES)
+            key = record.key.encode(errors=KEY_ERRORS)
             body += (1 + len(key) + len(record.value)).to_bytes(4, "big")
             body += bytes([len(key)]) + key + record.value
         return 200, body
@@ -181,7 +182,7 @@
         limits: dict[str, int] | None = None,
         **changes: object,
     ) -> None:
-        """Write a configuration as the operator does."""
+        """Write a configuration in the operator's place."""
         route = {
             "name": "r-1",
             "host": HOST,
@@ -196,17 +197,17 @@
             "advice": {"decideMs": 9.0, "eachMs": 0.1, "validMs": 2000},
             "fieldOfTheFuture": 1,
         }
-        told: dict[str, object] = {
+        configuration: dict[str, object] = {
             "version": version,
             "routes": [route | changes],
             "services": [{"name": SERVICE}],
         }
         if tenants:
-            told["tenants"] = tenants
+            configuration["tenants"] = tenants
             self.cell.configured([_organisation(row) for row in tenants], loop_time())
         if limits is not None:
-            told["limits"] = limits
-        record = Record("config", json.dumps(told).encode())
+            configuration["limits"] = limits
+        record = Record("config", json.dumps(configuration).encode())
         self.store.topics[Topic.CONFIGURATION].add([record])
 
     # -- Workers -----------------------------------------------------------------------------
@@ -226,26 +227,26 @@
             return await self._worker(worker, request)
 
         address = self._listen(serve, listening)
-        self._server_of[worker.info.name] = self._servers[-1]
+        self._worker_servers[worker.info.name] = self._http_servers[-1]
         return address
 
     async def restart_worker(self, worker: Vm, after: float, capacity: Shape = CAPACITY) -> None:
-        """End a worker's life; it starts again under its id and at its address after some seconds.
+        """Crash a worker and restart it under its id and address after ``after`` seconds.
 
-        Its entry stands meanwhile. What was open ends, and what is opened meanwhile; calls for the
-        last life that come later reach the next one.
+        Its entry stays listed meanwhile. Connections that are open or opened meanwhile are closed;
+        later calls for the previous incarnation reach the next one.
         """
         if not worker.up:
             return
         name = worker.info.name
         self.cell.crash(worker)
-        server = self._server_of.pop(name)
+        server = self._worker_servers.pop(name)
         (bound,) = server._sockets.values()
         listening = bound.dup()
         server.stop()
         await asyncio.sleep(after)
         new = self.cell.restart(worker, capacity)
-        _drop_waiting(listening)
+        _drop_pending(listening)
         self._serve_worker(new, listening)
         await asyncio.sleep(self.cell.rng.uniform(*LISTED_AFTER))
         while self.store.down:
@@ -254,7 +255,7 @@
             self._list(new)
 
     def _list(self, worker: Vm) -> None:
-        """Write what a worker says of itself."""
+        """Write a worker's entry."""
         capacity = worker.info.capacity
         entry = {
             "service": SERVICE,
@@ -272,17 +273,17 @@
         self.list_foreign(worker.info.name, json.dumps(entry).encode())
 
     def list_foreign(self, key: str, value: bytes) -> None:
-        """Write anything beside the workers' entries; no value drops a key."""
+        """Write an arbitrary record to the workers' topic; an empty value deletes the key."""
         self.store.topics[Topic.VMS].add([Record(key, value)])
 
     def resize_worker(self, worker: Vm, capacity: Shape) -> None:
-        """Let a worker shrink or grow while it runs."""
+        """Change a worker's capacity while it runs."""
         if worker.up:
             worker.resize(capacity, loop_time())
             self._list(worker)
 
-    def _crashed(self, worker: Vm) -> None:
-        """Take that a task has crashed its worker, which is back some seconds later."""
+    def _on_crash(self, worker: Vm) -> None:
+        """Replace or restart a worker that was crashed by a task, some seconds later."""
         after = self.cell.rng.uniform(0.5, 3.0)
         if self.ids_stay:
             self._tasks.add(asyncio.ensure_future(self.restart_worker(worker, after)))
@@ -292,70 +293,73 @@
         loop.call_later(after, self.add_worker, worker.info.rack)
 
     def address_of(self, worker: Vm) -> str:
-        """Return where a worker listens."""
+        """Return the address at which a worker is called."""
         return self._addresses[worker.info.name]
 
     def crash_worker(self, worker: Vm) -> None:
-        """End a worker's life; its entry goes, and nothing listens at its address any more."""
+        """Terminate a worker: remove its entry and stop listening at its address."""
         self.cell.crash(worker)
-        self._server_of.pop(worker.info.name).stop()
+        self._worker_servers.pop(worker.info.name).stop()
         if self.links is not None:
             self.links.pop(worker.info.name).close()
         self.store.topics[Topic.VMS].add([Record(worker.info.name)])
 
     async def _worker(self, worker: Vm, request: httputil.HTTPServerRequest) -> tuple[int, object]:
-        told = json.loads(request.body)
+        arguments = json.loads(request.body)
         if not worker.up:
-            return NO_ANSWER, {}
+            return CONNECTION_CLOSED, {}
         if request.headers["Expect-Instance"] != worker.info.name:
             return 421, {}
         act = ACTS[request.path]
         if self.cell.rng.random() < self.cell.late_orders:
-            self._carry_out_late(worker, act, told)
-            return SILENCE, {}
-        result = await act(self.cell, worker, told)
+            self._execute_late(worker, act, arguments)
+            return NO_RESPONSE, {}
+        result = await act(self.cell, worker, arguments)
         if isinstance(result, CallError) or not worker.up:
-            # One that has crashed meanwhile says nothing, least of all that it runs nothing.
-            return NO_ANSWER, {}
-        status, answered = result
+            # A worker that has crashed meanwhile must not report that it runs nothing.
+            return CONNECTION_CLOSED, {}
+        status, reply = result
         if status == HTTPStatus.OK and request.path == "/api/pace":
-            self.paced[told["task"]] = told["percent"]
-        for row in answered.get("running", ()):
+            self.throttle_percent[arguments["task"]] = arguments["percent"]
+        for row in reply.get("running", ()):
             row[3] = int(min(99.0, row[3]))
-            row.append(self.tails.get(row[0][:16], 3))
-        return status, answered
+            row.append(self.tail_latency_ms.get(row[0][:16], 3))
+        return status, reply
 
-    def _carry_out_late(self, worker: Vm, act: Act, told: Told) -> None:
-        """Obey seconds later, after newer calls; nobody hears of it."""
+    def _execute_late(self, worker: Vm, act: Act, arguments: Told) -> None:
+        """Execute a command seconds later, after newer ones, without a response."""
 
-        async def obey() -> None:
-            await asyncio.sleep(self.cell.rng.uniform(*LATE_ORDER))
+        async def execute() -> None:
+            await asyncio.sleep(self.cell.rng.uniform(*LATE_COMMAND_RANGE_S))
             if worker.up:
-                await act(self.cell, worker, {**told, "waitMs": 0})
+                await act(self.cell, worker, {**arguments, "waitMs": 0})
 
-        self._tasks.add(asyncio.ensure_future(obey()))
+        self._tasks.add(asyncio.ensure_future(execute()))
 
     # -- Advice ------------------------------------------------------------------------------
 
     async def _advice(self, request: httputil.HTTPServerRequest) -> tuple[int, object]:
-        told = json.loads(request.body)
-        if len(told["workers"]) > MAX_NAMED:
+        request_body = json.loads(request.body)
+        if len(request_body["workers"]) > MAX_ADVISED_WORKERS:
             return 400, {"error": "too many workers"}
         until = loop_time() + VALID
-        lives = {name: self.cell.newest(name).life for name in told["workers"]}
-        good = [[name, ticket(told["step"], life, until)] for name, life in lives.items()]
+        incarnations = {name: self.cell.newest(name).life for name in request_body["workers"]}
+        good = [
+            [name, ticket(request_body["step"], incarnation, until)]
+            for name, incarnation in incarnations.items()
+        ]
         return 200, {"good": good, "validMs": int(VALID * 1000)}
 
 
-def _drop_waiting(listening: socket.socket) -> None:
-    """End the connections that nobody has accepted."""
+def _drop_pending(listening: socket.socket) -> None:
+    """Close pending connections that were not accepted."""
     listening.setblocking(False)
     while True:
         try:
-            waiting, _ = listening.accept()
+            pending, _ = listening.accept()
         except BlockingIOError:
             return
-        waiting.close()
+        pending.close()
 
 
 def _organisation(tenant: dict[str, Any]) -> Organisation:
--- a/tests/platform/test_closed_connections.py
+++ b/tests/platform/test_closed_connections.py
@@ -1,8 +1,8 @@
-"""A connection that has ended as a process stops is no error of the process.
+"""A connection that closes while a process stops is not reported as an error of the process.
 
-As callers were cut off in a planned stop, a process wrote "Task exception was never retrieved" with
-a traceback of StreamClosedError beside its log lines: the wait for a next request had ended in the
-same moment in which what waited for it was cancelled.
+A process wrote "Task exception was never retrieved" with a traceback of StreamClosedError beside
+its log when callers were cut off in a planned stop: the read of the next request had failed at the
+same moment at which the task that awaited it was cancelled.
 """
 
 import asyncio
@@ -17,31 +17,31 @@
 from sablemount.jobs.model import RequestLimits
 
 
-def _serve_nothing(request: object) -> None:
-    """Take a request that does not come."""
+def _handle_request(request: object) -> None:
+    """Handle no request: none is sent."""
 
 
-async def _end_after(steps: int, told: list[str]) -> None:
-    """Serve a connection that has ended, and end with it some steps of the loop later."""
+async def _end_after(steps: int, errors: list[str]) -> None:
+    """Serve a closed connection and return some steps of the event loop later."""
 
-    def tell(loop: asyncio.AbstractEventLoop, context: Mapping[str, object]) -> None:
-        told.append(str(context["message"]))
+    def record_error(loop: asyncio.AbstractEventLoop, context: Mapping[str, object]) -> None:
+        errors.append(str(context["message"]))
 
-    asyncio.get_running_loop().set_exception_handler(tell)
-    server = CallerServer(_serve_nothing, body_timeout=BODY_SECONDS)
+    asyncio.get_running_loop().set_exception_handler(record_error)
+    server = CallerServer(_handle_request, body_timeout=BODY_SECONDS)
     server.set_limits(RequestLimits())
-    here, there = socket.socketpair()
-    stream = IOStream(here)
+    server_end, client_end = socket.socketpair()
+    stream = IOStream(server_end)
     stream.close()
-    there.close()
+    client_end.close()
     server.handle_stream(stream, ("127.0.0.1", 1))
     for _ in range(steps):
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("steps", range(8))
-def test_a_connection_that_ends_with_the_process_is_not_told_as_an_error(steps: int) -> None:
-    told: list[str] = []
-    asyncio.run(_end_after(steps, told))
+def test_a_connection_that_ends_with_the_process_is_not_reported_as_an_error(steps: int) -> None:
+    errors: list[str] = []
+    asyncio.run(_end_after(steps, errors))
     gc.collect()
-    assert told == []
+    assert errors == []
--- a/tests/platform/test_crossing.py
+++ b/tests/platform/test_crossing.py
@@ -1,13 +1,13 @@
-"""What the stand-in lets become of writes on their way to its store."""
+"""The stand-in delays, drops and defers writes to its store as configured."""
 
 import asyncio
 import random
 
 from tests.emulator.loop import run
-from tests.platform.crossing import NO_ANSWER, SILENCE, Crossing
+from tests.platform.crossing import CONNECTION_CLOSED, NO_RESPONSE, Crossing
 
 
-class _Written:
+class _Writer:
     def __init__(self, crossing: Crossing) -> None:
         self._crossing = crossing
         self.order: list[int] = []
@@ -20,58 +20,58 @@
         return (await self._crossing.write(carry_out))[0]
 
     async def many(self) -> list[int]:
-        """Write ten at once, and return the answers in the order of sending."""
+        """Send ten writes at once and return their statuses in the order of sending."""
         return list(await asyncio.gather(*(self.write(number) for number in range(10))))
 
 
 def test_calm_writes_are_answered_in_order() -> None:
-    written = _Written(Crossing(random.Random(1)))
-    assert run(written.many()) == [200] * 10
-    assert written.order == list(range(10))
+    writer = _Writer(Crossing(random.Random(1)))
+    assert run(writer.many()) == [200] * 10
+    assert writer.order == list(range(10))
 
 
 def test_late_writes_overtake_one_another_and_are_all_answered() -> None:
     crossing = Crossing(random.Random(1))
     crossing.late = 0.5
-    written = _Written(crossing)
-    assert run(written.many()) == [200] * 10
-    assert written.order != list(range(10))
-    assert sorted(written.order) == list(range(10))
+    writer = _Writer(crossing)
+    assert run(writer.many()) == [200] * 10
+    assert writer.order != list(range(10))
+    assert sorted(writer.order) == list(range(10))
 
 
 def test_dropped_writes_are_never_carried_out() -> None:
     crossing = Crossing(random.Random(1))
     crossing.dropped = 1.0
-    written = _Written(crossing)
+    writer = _Writer(crossing)
 
     async def wait_for_all() -> list[int]:
-        answers = await written.many()
+        statuses = await writer.many()
         await asyncio.sleep(60.0)
-        return answers
+        return statuses
 
-    assert set(run(wait_for_all())) == {NO_ANSWER, SILENCE}
-    assert written.order == []
+    assert set(run(wait_for_all())) == {CONNECTION_CLOSED, NO_RESPONSE}
+    assert writer.order == []
 
 
 def test_deferred_writes_are_carried_out_once_without_an_answer() -> None:
     crossing = Crossing(random.Random(1))
     crossing.deferred = 1.0
-    written = _Written(crossing)
+    writer = _Writer(crossing)
 
     async def wait_for_all() -> list[int]:
-        answers = await written.many()
-        assert written.order == []
+        statuses = await writer.many()
+        assert writer.order == []
         await asyncio.sleep(60.0)
-        return answers
+        return statuses
 
-    assert set(run(wait_for_all())) == {NO_ANSWER, SILENCE}
-    assert sorted(written.order) == list(range(10))
+    assert set(run(wait_for_all())) == {CONNECTION_CLOSED, NO_RESPONSE}
+    assert sorted(writer.order) == list(range(10))
 
 
 def test_writes_are_in_time_again_once_it_is_calm() -> None:
     crossing = Crossing(random.Random(1))
     crossing.late = crossing.dropped = crossing.deferred = 1.0
     crossing.calm()
-    written = _Written(crossing)
-    assert run(written.many()) == [200] * 10
-    assert written.order == list(range(10))
+    writer = _Writer(crossing)
+    assert run(writer.many()) == [200] * 10
+    assert writer.order == list(range(10))
--- a/tests/platform/test_organisations.py
+++ b/tests/platform/test_organisations.py
@@ -1,4 +1,4 @@
-"""Organisations, their keys and caps, in the platform's words and over real sockets."""
+"""Organisations, their keys and caps in the platform's configuration and over real sockets."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 from sablemount.platform.front import decode_job, digest_of
 from sablemount.structured_logs import StructuredFormatter
 from tests.platform.standin import PREFIX
-from tests.platform.test_whole_path import Front, play
+from tests.platform.test_whole_path import ProcessPair, run_scenario
 
 KEYS = {"kaje80": "gkcuyj8pjbvk9m68k7b2", "huvo11": "ex5wa5xwyhks8nbkxxmi"}
 SPARE_KEY = "q0j2w8kd81mvu3xs7fze"
@@ -49,7 +49,7 @@
 # -- The configuration -----------------------------------------------------------------------
 
 
-def test_organisations_are_decoded_whole() -> None:
+def test_organisations_are_decoded_completely() -> None:
     configuration = PlatformDirectory().configuration(_record(tenants=TENANTS, limits=LIMITS))
     assert configuration is not None
     assert configuration.keyed
@@ -63,10 +63,10 @@
     assert configuration.limits == RequestLimits(16_384, 262_144, 3.0, 15.0)
 
 
-def test_a_public_route_is_told_apart() -> None:
+def test_a_public_route_is_recognised() -> None:
     route = {"name": "r", "host": "h", "pathPrefix": "/p/", "service": "s"}
-    told = _record(routes=[route, route | {"public": True}])
-    configuration = PlatformDirectory().configuration(told)
+    record = _record(routes=[route, route | {"public": True}])
+    configuration = PlatformDirectory().configuration(record)
     assert configuration is not None
     assert [queue.public for queue in configuration.queues] == [False, True]
 
@@ -93,7 +93,7 @@
         "a",
     ],
 )
-def test_a_configuration_that_cannot_be_meant_is_refused_whole(
+def test_an_invalid_configuration_is_refused_as_a_whole(
     tenants: object, caplog: pytest.LogCaptureFixture
 ) -> None:
     logging.getLogger("sablemount").propagate = True
@@ -111,11 +111,11 @@
     assert all(SPARE_KEY not in formatter.format(record) for record in caplog.records)
 
 
-# -- The header ------------------------------------------------------------------------------
+# -- The header with the key -----------------------------------------------------------------
 
 
 def _headers(*lines: str) -> httputil.HTTPHeaders:
-    """Return headers as the server hands them on, without blanks at the ends of a line."""
+    """Return headers as the server passes them on, without blanks at the ends of a line."""
     headers = httputil.HTTPHeaders()
     for line in lines:
         headers.add("Authorization", line.strip(" \t"))
@@ -142,7 +142,7 @@
         ("Bearer abc", "Basic abc"),
     ],
 )
-def test_what_is_no_key_is_none(lines: tuple[str, ...]) -> None:
+def test_a_malformed_key_is_none(lines: tuple[str, ...]) -> None:
     assert digest_of(_headers(*lines)) is None
 
 
@@ -151,7 +151,7 @@
         st.characters(min_codepoint=32, max_codepoint=255, exclude_characters="\x7f"), max_size=200
     )
 )
-def test_any_line_is_a_key_or_none(line: str) -> None:
+def test_any_header_line_is_a_key_or_none(line: str) -> None:
     digest = digest_of(_headers("Bearer " + line.replace(",", "")))
     assert digest is None or len(digest) == 32
 
@@ -160,44 +160,46 @@
     assert digest_of(_headers("Bearer " + "k" * 65_536)) == key_digest(b"k" * 65_536)
 
 
-# -- The whole path --------------------------------------------------------------------------
+# -- Over real sockets -----------------------------------------------------------------------
 
 
-def _hand_out(front: Front, version: int = 9, tenants: list[dict[str, Any]] = TENANTS) -> None:
-    front.standin.configure(version, tenants)
+def _configure_tenants(
+    pair: ProcessPair, version: int = 9, tenants: list[dict[str, Any]] = TENANTS
+) -> None:
+    pair.standin.configure(version, tenants)
 
 
-async def _submit(front: Front, number: int, job: str, organisation: str) -> int:
-    front.standin.cell.jobs[job] = decode_job(json.dumps(JOB).encode())
+async def _submit(pair: ProcessPair, number: int, job: str, organisation: str) -> int:
+    pair.standin.cell.jobs[job] = decode_job(json.dumps(JOB).encode())
     key = KEYS.get(organisation, organisation)
-    return (await front.call(number, "POST", PREFIX + job, JOB, key)).code
+    return (await pair.call(number, "POST", PREFIX + job, JOB, key)).code
 
 
 def test_only_those_with_a_key_are_served() -> None:
-    async def scenario(front: Front) -> None:
-        _hand_out(front)
+    async def scenario(pair: ProcessPair) -> None:
+        _configure_tenants(pair)
 
-        async def asked() -> bool:
-            return [(await front.call(n, "GET", PREFIX)).code for n in (0, 1)] == [401, 401]
+        async def keys_required() -> bool:
+            return [(await pair.call(n, "GET", PREFIX)).code for n in (0, 1)] == [401, 401]
 
-        await front.until(asked)
+        await pair.until(keys_required)
         job = "5c0e7a21d94b36f8"
-        assert await _submit(front, 0, job, "") == 401
-        assert await _submit(front, 1, job, "nobodys") == 401
-        assert await _submit(front, 0, job, "kaje80") == 200
-        refused = await front.call(1, "GET", PREFIX + job)
+        assert await _submit(pair, 0, job, "") == 401
+        assert await _submit(pair, 1, job, "nobodys") == 401
+        assert await _submit(pair, 0, job, "kaje80") == 200
+        refused = await pair.call(1, "GET", PREFIX + job)
         assert refused.headers["WWW-Authenticate"] == "Bearer"
         states = [
-            (await front.call(number, "GET", PREFIX + job, key=KEYS[name])).code
+            (await pair.call(number, "GET", PREFIX + job, key=KEYS[name])).code
             for number in (0, 1)
             for name in ("kaje80", "huvo11")
         ]
         assert states == [200, 410, 200, 410]
-        assert await _submit(front, 1, job, "huvo11") == 409
-        assert (await front.call(1, "DELETE", PREFIX + job, key=KEYS["huvo11"])).code == 410
-        assert (await front.call(0, "DELETE", PREFIX + job, key=SPARE_KEY)).code == 200
+        assert await _submit(pair, 1, job, "huvo11") == 409
+        assert (await pair.call(1, "DELETE", PREFIX + job, key=KEYS["huvo11"])).code == 410
+        assert (await pair.call(0, "DELETE", PREFIX + job, key=SPARE_KEY)).code == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_no_key_is_written_anywhere(
@@ -206,7 +208,7 @@
     frames: list[bytes] = []
 
     class Recording:
-        """Encodes as before, and keeps what goes between the processes."""
+        """Encodes frames as usual and records those that pass between the processes."""
 
         def encode(self, frame: object) -> bytes:
             frames.append(msgspec.msgpack.encode(frame))
@@ -217,28 +219,30 @@
     caplog.set_level(logging.DEBUG, "sablemount")
     bodies: list[bytes] = []
 
-    async def scenario(front: Front) -> None:
-        _hand_out(front)
+    async def scenario(pair: ProcessPair) -> None:
+        _configure_tenants(pair)
 
-        async def asked() -> bool:
-            return [(await front.call(n, "GET", PREFIX)).code for n in (0, 1)] == [401, 401]
+        async def keys_required() -> bool:
+            return [(await pair.call(n, "GET", PREFIX)).code for n in (0, 1)] == [401, 401]
 
-        await front.until(asked)
+        await pair.until(keys_required)
         for number in (0, 1):
             for name in (*KEYS, SPARE_KEY, "nobodys-key"):
-                await _submit(front, number, f"{number:08x}{len(bodies):08x}", name)
-                answer = await front.call(number, "GET", PREFIX, key=KEYS.get(name, name))
-                bodies.append(answer.body + str(answer.headers).encode())
-        _hand_out(front, 10, TENANTS[:1])
-        _hand_out(front, 11, [{"name": "kaje80", "apiKeys": [SPARE_KEY], "cap": SPARE_KEY}])
+                await _submit(pair, number, f"{number:08x}{len(bodies):08x}", name)
+                response = await pair.call(number, "GET", PREFIX, key=KEYS.get(name, name))
+                bodies.append(response.body + str(response.headers).encode())
+        _configure_tenants(pair, 10, TENANTS[:1])
+        _configure_tenants(pair, 11, [{"name": "kaje80", "apiKeys": [SPARE_KEY], "cap": SPARE_KEY}])
         await asyncio.sleep(0.5)
-        bodies.append("".join([await front.figures(number) for number in (0, 1)]).encode())
-        own = [topic for topic in front.standin.store.topics if topic.value in ("jobs", "leader")]
-        for topic in own:
-            for record in front.standin.store.topics[topic].records:
+        bodies.append("".join([await pair.metrics(number) for number in (0, 1)]).encode())
+        own_topics = [
+            topic for topic in pair.standin.store.topics if topic.value in ("jobs", "leader")
+        ]
+        for topic in own_topics:
+            for record in pair.standin.store.topics[topic].records:
                 bodies.append(record.key.encode() + record.value)
 
-    play(scenario)
+    run_scenario(scenario)
     formatter = StructuredFormatter()
     written = [formatter.format(record).encode() for record in caplog.records]
     assert frames and written and bodies
@@ -246,15 +250,15 @@
         assert not any(key.encode() in text for text in frames + written + bodies)
 
 
-def test_what_a_cap_can_never_hold_is_refused_with_its_field() -> None:
-    async def scenario(front: Front) -> None:
-        _hand_out(front)
+def test_a_task_larger_than_the_cap_is_refused_with_its_field() -> None:
+    async def scenario(pair: ProcessPair) -> None:
+        _configure_tenants(pair)
 
         async def refused() -> bool:
             job = {"spec": "x", "steps": [{"count": 1, "cpu": 9_000}]}
-            answer = await front.call(0, "POST", PREFIX + "00000000000000ad", job, KEYS["kaje80"])
-            return answer.code == 400 and json.loads(answer.body)["path"] == "$.steps[0].cpu"
+            response = await pair.call(0, "POST", PREFIX + "00000000000000ad", job, KEYS["kaje80"])
+            return response.code == 400 and json.loads(response.body)["path"] == "$.steps[0].cpu"
 
-        await front.until(refused)
+        await pair.until(refused)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/platform/test_request_limits.py
+++ b/tests/platform/test_request_limits.py
@@ -1,11 +1,11 @@
-"""Requests that are too large or too slow are bounded, and hurt no other caller."""
+"""Requests that are too large or too slow are refused and do not affect other callers."""
 
 import asyncio
 import re
 from collections.abc import Awaitable, Callable
 
 from tests.platform.standin import HOST, PREFIX
-from tests.platform.test_whole_path import HOST_ADDRESS, Front, play
+from tests.platform.test_whole_path import HOST_ADDRESS, ProcessPair, run_scenario
 
 LIMITS = {
     "maxHeaderBytes": 2_000,
@@ -16,19 +16,19 @@
 HEAD = f"HTTP/1.1\r\nHost: {HOST}\r\n"
 
 
-async def _limited(front: Front) -> None:
-    """Put the limits in force and wait until they are."""
-    front.standin.configure(9, limits=LIMITS)
+async def _apply_limits(pair: ProcessPair) -> None:
+    """Configure the limits and wait until all processes apply them."""
+    pair.standin.configure(9, limits=LIMITS)
 
     async def in_force() -> bool:
-        return all(process.member.feed.version == 9 for process in front.processes)
+        return all(process.member.feed.version == 9 for process in pair.processes)
 
-    await front.until(in_force)
+    await pair.until(in_force)
 
 
-async def _talk(front: Front, text: str) -> bytes:
-    """Send some text over a new connection and return all that comes until it ends."""
-    port = front.processes[0].boot.listen.front.rpartition(":")[2]
+async def _exchange(pair: ProcessPair, text: str) -> bytes:
+    """Send text over a new connection; return everything received until it is closed."""
+    port = pair.processes[0].boot.listen.front.rpartition(":")[2]
     reader, writer = await asyncio.open_connection(HOST_ADDRESS, int(port))
     writer.write(text.encode())
     try:
@@ -40,19 +40,19 @@
         writer.close()
 
 
-def _status(answer: bytes) -> list[int]:
-    # A body does not end with its line, so that the next answer may follow it at once.
-    return [int(status) for status in re.findall(rb"HTTP/1.1 (\d+)", answer)]
+def _statuses(response: bytes) -> list[int]:
+    # A body has no line end, so the next response can follow it on the same line.
+    return [int(status) for status in re.findall(rb"HTTP/1.1 (\d+)", response)]
 
 
-def _play(check: Callable[[Front], Awaitable[None]]) -> None:
-    async def scenario(front: Front) -> None:
-        await _limited(front)
-        await check(front)
-        # Whatever one caller sends, another one is served.
-        assert (await front.call(0, "GET", PREFIX)).code == 200
+def _run_check(check: Callable[[ProcessPair], Awaitable[None]]) -> None:
+    async def scenario(pair: ProcessPair) -> None:
+        await _apply_limits(pair)
+        await check(pair)
+        # Whatever one caller sends, others are served.
+        assert (await pair.call(0, "GET", PREFIX)).code == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 SIZED = {
@@ -69,25 +69,27 @@
 }
 
 
-def test_what_is_too_large_is_refused() -> None:
-    async def check(front: Front) -> None:
-        found = {name: _status(await _talk(front, text)) for name, (text, _) in SIZED.items()}
-        assert found == {name: status for name, (_, status) in SIZED.items()}
+def test_requests_that_are_too_large_are_refused() -> None:
+    async def check(pair: ProcessPair) -> None:
+        statuses = {
+            name: _statuses(await _exchange(pair, text)) for name, (text, _) in SIZED.items()
+        }
+        assert statuses == {name: status for name, (_, status) in SIZED.items()}
 
-    _play(check)
+    _run_check(check)
 
 
 def test_a_connection_without_a_whole_request_is_closed() -> None:
-    async def check(front: Front) -> None:
+    async def check(pair: ProcessPair) -> None:
         for text in ("", f"GET {PREFIX} HTTP/1.1\r\nHost: "):
-            assert await _talk(front, text) == b""
+            assert await _exchange(pair, text) == b""
 
-    _play(check)
+    _run_check(check)
 
 
 def test_calls_that_come_together_are_answered_in_turn() -> None:
-    async def check(front: Front) -> None:
+    async def check(pair: ProcessPair) -> None:
         calls = f"GET {PREFIX} {HEAD}\r\n" * 20
-        assert _status(await _talk(front, calls)) == [200] * 20
+        assert _statuses(await _exchange(pair, calls)) == [200] * 20
 
-    _play(check)
+    _run_check(check)
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Processes of the product over real sockets, against the stand-in of the platform."""
+"""Processes of the product over real sockets, against the stand-in for the platform."""
 
 import asyncio
 import json
@@ -17,29 +17,29 @@
 from tests.platform.standin import HOST, PREFIX, Standin
 
 JOB = {"spec": "payload", "steps": [{"count": 2, "cpu": 500}, {"count": 1, "dependsOn": [0]}]}
-WAIT = 30.0
+TIMEOUT_S = 30.0
 
 
 HOST_ADDRESS = f"127.{1 + os.getpid() % 250}.0.1"
-"""Where the processes listen. Connections that are opened meanwhile take free ports of 127.0.0.1,
-so that a port of another loopback address stays free between its choice and its use."""
+"""Address on which the processes listen. Outgoing connections take free ports of 127.0.0.1, so that
+a port of another loopback address stays free between its choice and its use."""
 
 
-_given: set[int] = set()
-"""Ports chosen before: one that is free again by then would be listened at twice."""
+_used_ports: set[int] = set()
+"""Ports chosen before: one that is free again would otherwise be chosen twice."""
 
 
 def _free_port() -> int:
     while True:
         socket, port = bind_unused_port(address=HOST_ADDRESS)
         socket.close()
-        if port not in _given:
-            _given.add(port)
+        if port not in _used_ports:
+            _used_ports.add(port)
             return port
 
 
-class Front:
-    """Two processes, and calls to them as a client makes them."""
+class ProcessPair:
+    """Two processes and a client that calls them."""
 
     def __init__(self) -> None:
         self.standin = Standin()
@@ -80,13 +80,13 @@
             try:
                 response = await self._client.fetch(url, raise_error=False)
             except (OSError, HTTPStreamClosedError):
-                # It does not listen yet.
+                # The process does not listen yet.
                 return False
             if response.code != 200:
                 return False
         return True
 
-    async def figures(self, number: int) -> str:
+    async def metrics(self, number: int) -> str:
         url = f"http://{HOST_ADDRESS}:{self.processes[number].metrics_port}/metrics"
         return (await self._client.fetch(url)).body.decode()
 
@@ -94,88 +94,88 @@
         response = await self.call(number, "GET", PREFIX + job)
         return str(json.loads(response.body).get("state", response.code))
 
-    async def until(self, holds: Callable[[], Awaitable[bool]]) -> None:
-        async with asyncio.timeout(WAIT):
-            while not await holds():
+    async def until(self, condition: Callable[[], Awaitable[bool]]) -> None:
+        async with asyncio.timeout(TIMEOUT_S):
+            while not await condition():
                 await asyncio.sleep(0.05)
 
 
-def play(scenario: Callable[[Front], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[ProcessPair], Awaitable[None]]) -> None:
     async def run() -> None:
-        front = Front()
-        await front.start()
+        pair = ProcessPair()
+        await pair.start()
         try:
-            await scenario(front)
+            await scenario(pair)
         finally:
-            for process in front.processes:
+            for process in pair.processes:
                 process.request_stop()
-            codes = await asyncio.gather(*front.running)
-            front.standin.close()
+            codes = await asyncio.gather(*pair.running)
+            pair.standin.close()
         assert codes == [0, 0]
 
     asyncio.run(run())
 
 
-def test_a_job_is_accepted_run_and_told_by_any_process() -> None:
-    async def scenario(front: Front) -> None:
+def test_a_job_is_accepted_run_and_reported_by_any_process() -> None:
+    async def scenario(pair: ProcessPair) -> None:
         job = "5c0e7a21d94b36f8"
-        front.standin.cell.jobs[job] = decode_job(json.dumps(JOB).encode())
-        assert (await front.call(0, "POST", PREFIX + job, JOB)).code == 200
-        assert (await front.call(1, "POST", PREFIX + job, JOB)).code == 200
+        pair.standin.cell.jobs[job] = decode_job(json.dumps(JOB).encode())
+        assert (await pair.call(0, "POST", PREFIX + job, JOB)).code == 200
+        assert (await pair.call(1, "POST", PREFIX + job, JOB)).code == 200
 
         async def done() -> bool:
-            return await front.state(1, job) == "succeeded"
+            return await pair.state(1, job) == "succeeded"
 
-        await front.until(done)
-        assert await front.state(0, job) == "succeeded"
-        assert front.standin.cell.violations == []
-        figures = [await front.figures(number) for number in (0, 1)]
+        await pair.until(done)
+        assert await pair.state(0, job) == "succeeded"
+        assert pair.standin.cell.violations == []
+        metrics = [await pair.metrics(number) for number in (0, 1)]
         assert all(
-            'sablemount_events_total{event="request",label="done"}' in text for text in figures
+            'sablemount_events_total{event="request",label="done"}' in text for text in metrics
         )
-        assert any('event="end",label="done"} 3' in text for text in figures)
-        assert sorted(front.standin.cell.starts) == [f"{job}.0.0.0", f"{job}.0.0.1", f"{job}.0.1.0"]
+        assert any('event="end",label="done"} 3' in text for text in metrics)
+        assert sorted(pair.standin.cell.starts) == [f"{job}.0.0.0", f"{job}.0.0.1", f"{job}.0.1.0"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_what_is_unknown_or_malformed_is_refused_at_once() -> None:
-    async def scenario(front: Front) -> None:
-        assert (await front.call(0, "GET", PREFIX + "00000000000000aa")).code == 410
-        assert (await front.call(1, "GET", "/nowhere/1")).code == 404
-        assert (await front.call(1, "DELETE", PREFIX + "00000000000000aa")).code == 410
-        waiting = await front.call(1, "GET", PREFIX)
+    async def scenario(pair: ProcessPair) -> None:
+        assert (await pair.call(0, "GET", PREFIX + "00000000000000aa")).code == 410
+        assert (await pair.call(1, "GET", "/nowhere/1")).code == 404
+        assert (await pair.call(1, "DELETE", PREFIX + "00000000000000aa")).code == 410
+        waiting = await pair.call(1, "GET", PREFIX)
         assert json.loads(waiting.body) == {"waiting": 0}
         bad = {"spec": "x", "steps": [{"count": 1}, {"count": 1, "dependsOn": [4]}]}
-        refused = await front.call(0, "POST", PREFIX + "00000000000000ab", bad)
+        refused = await pair.call(0, "POST", PREFIX + "00000000000000ab", bad)
         assert refused.code == 400
         assert json.loads(refused.body)["path"] == "$.steps[1].dependsOn"
-        mistyped = await front.call(
+        mistyped = await pair.call(
             0, "POST", PREFIX + "ac", {"spec": "x", "steps": [{"count": "1"}]}
         )
         assert mistyped.code == 400
         assert json.loads(mistyped.body)["path"] == "$.steps[0].count"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_lines_tell_which_leader_accepted_a_job_and_which_does_not_know_one(
+def test_log_lines_name_the_leader_that_accepted_a_job_or_does_not_know_it(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     logging.getLogger("sablemount").propagate = True
     caplog.set_level(logging.INFO, "sablemount")
 
-    async def scenario(front: Front) -> None:
-        front.standin.cell.jobs["00000000000000ad"] = decode_job(json.dumps(JOB).encode())
+    async def scenario(pair: ProcessPair) -> None:
+        pair.standin.cell.jobs["00000000000000ad"] = decode_job(json.dumps(JOB).encode())
         for _ in range(2):
-            assert (await front.call(0, "POST", PREFIX + "00000000000000ad", JOB)).code == 200
-        assert (await front.call(1, "GET", PREFIX + "00000000000000aa")).code == 410
-
-    play(scenario)
-    told = {(line.msg, line.__dict__.get("status")): line.__dict__ for line in caplog.records}
-    leading, accepted = told["leading", None], told["job accepted", None]
-    refused = told["refused", 410]
-    known = told["job known", None]
+            assert (await pair.call(0, "POST", PREFIX + "00000000000000ad", JOB)).code == 200
+        assert (await pair.call(1, "GET", PREFIX + "00000000000000aa")).code == 410
+
+    run_scenario(scenario)
+    lines = {(line.msg, line.__dict__.get("status")): line.__dict__ for line in caplog.records}
+    leading, accepted = lines["leading", None], lines["job accepted", None]
+    refused = lines["refused", 410]
+    known = lines["job known", None]
     assert (leading["epoch"], leading["end"]) == (1, 0)
     assert (accepted["job"], accepted["epoch"]) == ("00000000000000ad", 1)
     assert (known["job"], known["epoch"]) == ("00000000000000ad", 1)
@@ -183,88 +183,91 @@
     assert refused["epoch"] == 1
 
 
-def test_a_cancelled_job_is_told_so_and_stops() -> None:
-    async def scenario(front: Front) -> None:
-        front.standin.cell.seconds = 60.0
+def test_a_cancelled_job_is_reported_as_such_and_stops() -> None:
+    async def scenario(pair: ProcessPair) -> None:
+        pair.standin.cell.seconds = 60.0
         job = "00000000000000ca"
-        front.standin.cell.jobs[job] = decode_job(json.dumps(JOB).encode())
-        await front.call(0, "POST", PREFIX + job, JOB)
+        pair.standin.cell.jobs[job] = decode_job(json.dumps(JOB).encode())
+        await pair.call(0, "POST", PREFIX + job, JOB)
 
         async def runs() -> bool:
-            return any(worker.runs for worker in front.standin.cell.vms.values())
+            return any(worker.runs for worker in pair.standin.cell.vms.values())
 
         async def stopped() -> bool:
             return not await runs()
 
-        await front.until(runs)
-        assert (await front.call(1, "DELETE", PREFIX + job)).code == 200
-        assert await front.state(0, job) == "cancelled"
-        await front.until(stopped)
+        await pair.until(runs)
+        assert (await pair.call(1, "DELETE", PREFIX + job)).code == 200
+        assert await pair.state(0, job) == "cancelled"
+        await pair.until(stopped)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_fills_is_paced_beside_what_serves() -> None:
-    async def scenario(front: Front) -> None:
-        front.standin.cell.seconds = 60.0
-        serves = {"count": 2, "cpu": 500, "memMb": 10, "daemon": True, "targetMs": 100}
-        fills = {"count": 2, "cpu": 500, "memMb": 10, "daemon": True, "fills": True}
-        for job, step in (("00000000000000c1", serves), ("00000000000000c2", fills)):
+def test_best_effort_runs_are_throttled_beside_latency_sensitive_ones() -> None:
+    async def scenario(pair: ProcessPair) -> None:
+        pair.standin.cell.seconds = 60.0
+        latency_sensitive = {"count": 2, "cpu": 500, "memMb": 10, "daemon": True, "targetMs": 100}
+        best_effort = {"count": 2, "cpu": 500, "memMb": 10, "daemon": True, "fills": True}
+        for job, step in (
+            ("00000000000000c1", latency_sensitive),
+            ("00000000000000c2", best_effort),
+        ):
             body = {"spec": "payload", "steps": [step]}
-            front.standin.cell.jobs[job] = decode_job(json.dumps(body).encode())
-            assert (await front.call(0, "POST", PREFIX + job, body)).code == 200
-        front.standin.tails["00000000000000c1"] = 130.0
+            pair.standin.cell.jobs[job] = decode_job(json.dumps(body).encode())
+            assert (await pair.call(0, "POST", PREFIX + job, body)).code == 200
+        pair.standin.tail_latency_ms["00000000000000c1"] = 130.0
 
-        async def slowed() -> bool:
-            return 0 in front.standin.paced.values()
+        async def throttled() -> bool:
+            return 0 in pair.standin.throttle_percent.values()
 
-        await front.until(slowed)
-        front.standin.tails["00000000000000c1"] = 20.0
+        await pair.until(throttled)
+        pair.standin.tail_latency_ms["00000000000000c1"] = 20.0
 
-        async def given_back() -> bool:
-            return any(percent >= 10 for percent in front.standin.paced.values())
+        async def restored() -> bool:
+            return any(percent >= 10 for percent in pair.standin.throttle_percent.values())
 
-        await front.until(given_back)
-        assert all(task.startswith("00000000000000c2") for task in front.standin.paced)
+        await pair.until(restored)
+        assert all(task.startswith("00000000000000c2") for task in pair.standin.throttle_percent)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_without_the_store_new_jobs_are_refused_with_a_time_to_come_back() -> None:
-    async def scenario(front: Front) -> None:
-        front.standin.store.down = True
+    async def scenario(pair: ProcessPair) -> None:
+        pair.standin.store.down = True
         jobs = [f"{number:016x}" for number in range(200)]
         for job in jobs:
-            front.standin.cell.jobs[job] = decode_job(json.dumps(JOB).encode())
-        asked: list[str] = []
+            pair.standin.cell.jobs[job] = decode_job(json.dumps(JOB).encode())
+        submitted: list[str] = []
 
         async def refused() -> bool:
-            # An uncertain job stays uncertain, so each try is another one.
-            asked.append(jobs[len(asked)])
-            response = await front.call(0, "POST", PREFIX + asked[-1], JOB)
+            # A job whose acceptance is uncertain stays so; each attempt submits another one.
+            submitted.append(jobs[len(submitted)])
+            response = await pair.call(0, "POST", PREFIX + submitted[-1], JOB)
             assert response.code in (503, 504)
             return response.code == 503 and "Retry-After" in response.headers
 
-        await front.until(refused)
-        front.standin.store.down = False
+        await pair.until(refused)
+        pair.standin.store.down = False
 
         async def taken() -> bool:
-            return (await front.call(1, "POST", PREFIX + asked[-1], JOB)).code == 200
+            return (await pair.call(1, "POST", PREFIX + submitted[-1], JOB)).code == 200
 
-        await front.until(taken)
+        await pair.until(taken)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("prefix", ["/dropped/"])
 def test_a_new_configuration_is_in_force(prefix: str) -> None:
-    async def scenario(front: Front) -> None:
-        front.standin.configure(9, pathPrefix=prefix)
+    async def scenario(pair: ProcessPair) -> None:
+        pair.standin.configure(9, pathPrefix=prefix)
 
         async def moved() -> bool:
-            return (await front.call(1, "GET", prefix)).code == 200
+            return (await pair.call(1, "GET", prefix)).code == 200
 
-        await front.until(moved)
-        assert (await front.call(0, "GET", PREFIX)).code == 404
+        await pair.until(moved)
+        assert (await pair.call(0, "GET", PREFIX)).code == 404
 
-    play(scenario)
+    run_scenario(scenario)
