--- a/tests/platform/links.py
+++ b/tests/platform/links.py
@@ -1,7 +1,7 @@
-"""Connections that fail: a small proxy on the loopback address, in front of one address.
+"""A TCP proxy on the loopback address that injects connection faults in front of one address.
 
-What is held back arrives later and in order, as it does where packets are lost and sent again; a
-connection ends by a reset or as its ends will have it, and loses nothing in its middle.
+Data that is held back arrives later and in order, as with packet loss and retransmission. A
+connection ends by a reset or when its endpoints close it; no data is lost in the middle.
 """
 
 import asyncio
@@ -14,23 +14,23 @@
 
 HOST = "127.0.0.1"
 BACKLOG = 512
-PIECE = 65_536
-"""Bytes that are passed on at once at most."""
-LINGER_OFF = b"\x01\x00\x00\x00\x00\x00\x00\x00"
-"""Socket option by which a close resets the connection."""
+MAX_CHUNK_BYTES = 65_536
+"""Maximum number of bytes that are forwarded at once."""
+LINGER_ZERO = b"\x01\x00\x00\x00\x00\x00\x00\x00"
+"""Value of SO_LINGER with which closing a socket resets its connection."""
 
 _logger = logging.getLogger("sablemount.soak.links")
 
 
 class Direction(enum.Enum):
-    """Whose bytes: the caller's, or the answers to them."""
+    """Direction of bytes: ``THERE`` from the client to the server, ``BACK`` the opposite."""
 
     THERE = "there"
     BACK = "back"
 
 
 class Link:
-    """Passes connections on to one address, with the faults in force; needs a running loop."""
+    """Forwards connections to one address with the active faults; needs a running event loop."""
 
     def __init__(self, target: str, rng: random.Random) -> None:
         self._target = target
@@ -39,9 +39,9 @@
         host, port = self._socket.getsockname()
         self.address = f"{host}:{port}"
         self.delay = 0.0
-        """Seconds by which a piece is held back at most."""
+        """Maximum delay of a chunk in seconds."""
         self.reset_after: int | None = None
-        """Bytes of either direction after which a connection is reset."""
+        """Number of bytes in either direction after which a connection is reset."""
         self._open = {direction: asyncio.Event() for direction in Direction}
         self._connections: set[_Connection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -51,7 +51,7 @@
         self._loop.add_reader(self._socket, self._accept)
 
     def calm(self) -> None:
-        """Let everything pass again."""
+        """Clear all faults and forward the data that was held back."""
         self.delay = 0.0
         self.reset_after = None
         for event in self._open.values():
@@ -67,35 +67,35 @@
             connection.reset()
 
     def close(self) -> None:
-        """Take no connections any more, and reset those that there are."""
+        """Stop accepting connections and reset the open ones."""
         if self._socket.fileno() >= 0:
             self._loop.remove_reader(self._socket)
             self._socket.close()
         self.reset()
 
-    async def pass_on(self, direction: Direction) -> None:
-        """Wait until bytes of a direction may go on."""
+    async def wait_until_open(self, direction: Direction) -> None:
+        """Wait until bytes of a direction may be forwarded."""
         if self.delay:
             await asyncio.sleep(self._rng.uniform(0.0, self.delay))
         await self._open[direction].wait()
 
     def _accept(self) -> None:
-        taken, _ = self._socket.accept()
-        taken.setblocking(False)
-        task = asyncio.ensure_future(self._serve(taken))
+        accepted, _ = self._socket.accept()
+        accepted.setblocking(False)
+        task = asyncio.ensure_future(self._serve(accepted))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _serve(self, taken: socket.socket) -> None:
-        caller = await asyncio.open_connection(sock=taken)
+    async def _serve(self, accepted: socket.socket) -> None:
+        client = await asyncio.open_connection(sock=accepted)
         host, _, port = self._target.rpartition(":")
         try:
-            called = await asyncio.open_connection(host, int(port))
+            server = await asyncio.open_connection(host, int(port))
         except OSError as error:
-            _logger.debug("nothing to pass on to", extra={"error": repr(error)})
-            _reset(caller[1])
+            _logger.debug("cannot connect to the target", extra={"error": repr(error)})
+            _reset(client[1])
             return
-        connection = _Connection(self, caller, called)
+        connection = _Connection(self, client, server)
         self._connections.add(connection)
         try:
             await connection.run()
@@ -103,54 +103,54 @@
             self._connections.discard(connection)
 
 
-_Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+_Endpoint = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class _Connection:
-    """One connection that is passed on, in both directions."""
+    """One connection that is forwarded in both directions."""
 
-    def __init__(self, link: Link, caller: _Ends, called: _Ends) -> None:
+    def __init__(self, link: Link, client: _Endpoint, server: _Endpoint) -> None:
         self._link = link
-        self._caller = caller
-        self._called = called
+        self._client = client
+        self._server = server
 
     async def run(self) -> None:
-        """Pass bytes on until both directions have ended, or the connection is reset."""
-        there = self._pump(self._caller[0], self._called[1], Direction.THERE)
-        back = self._pump(self._called[0], self._caller[1], Direction.BACK)
+        """Forward bytes until both directions have ended or the connection is reset."""
+        to_server = self._pump(self._client[0], self._server[1], Direction.THERE)
+        to_client = self._pump(self._server[0], self._client[1], Direction.BACK)
         try:
-            await asyncio.gather(there, back)
+            await asyncio.gather(to_server, to_client)
         except OSError as error:
-            _logger.debug("connection broke", extra={"error": repr(error)})
+            _logger.debug("connection failed", extra={"error": repr(error)})
             self.reset()
         else:
-            self._caller[1].close()
-            self._called[1].close()
+            self._client[1].close()
+            self._server[1].close()
 
     def reset(self) -> None:
-        """Reset both of its ends."""
-        _reset(self._caller[1])
-        _reset(self._called[1])
+        """Reset the connections to both endpoints."""
+        _reset(self._client[1])
+        _reset(self._server[1])
 
     async def _pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
     ) -> None:
-        passed = 0
-        while piece := await reader.read(PIECE):
-            await self._link.pass_on(direction)
+        forwarded = 0
+        while chunk := await reader.read(MAX_CHUNK_BYTES):
+            await self._link.wait_until_open(direction)
             limit = self._link.reset_after
-            if limit is not None and passed + len(piece) > limit:
-                writer.write(piece[: max(0, limit - passed)])
-                raise ConnectionResetError("at the byte that was drawn")
-            writer.write(piece)
-            passed += len(piece)
+            if limit is not None and forwarded + len(chunk) > limit:
+                writer.write(chunk[: max(0, limit - forwarded)])
+                raise ConnectionResetError("reset after the configured number of bytes")
+            writer.write(chunk)
+            forwarded += len(chunk)
             await writer.drain()
-        await self._link.pass_on(direction)
+        await self._link.wait_until_open(direction)
         writer.write_eof()
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
     end: socket.socket = writer.get_extra_info("socket")
     if end.fileno() >= 0:
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_OFF)
+        end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     writer.transport.abort()
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,12 +1,12 @@
-"""Nothing outside the translators knows the platform's names."""
+"""Only ``sablemount.platform`` uses the platform's names."""
 
 from pathlib import Path
 
 import pytest
 
 SOURCE = Path(__file__).parents[2] / "src" / "sablemount"
-TRANSLATORS = SOURCE / "platform"
-NAMES = (
+PLATFORM_PACKAGE = SOURCE / "platform"
+PLATFORM_NAMES = (
     "ackedUpto",
     "antiAffinity",
     "cloudApi",
@@ -31,28 +31,28 @@
     "validMs",
     "waitMs",
 )
-MOST_SHARE = 0.35
-"""The translators stay small beside the part of the product that they serve."""
+MAX_SHARE = 0.35
+"""Maximum size of the platform package, as a fraction of the packages that it serves."""
 
 
-def _product() -> list[Path]:
-    return [path for path in SOURCE.rglob("*.py") if TRANSLATORS not in path.parents]
+def _other_modules() -> list[Path]:
+    return [path for path in SOURCE.rglob("*.py") if PLATFORM_PACKAGE not in path.parents]
 
 
-@pytest.mark.parametrize("name", NAMES)
+@pytest.mark.parametrize("name", PLATFORM_NAMES)
 def test_no_name_of_the_platform_outside(name: str) -> None:
-    found = [str(path) for path in _product() if name in path.read_text()]
-    assert found == []
+    modules = [str(path) for path in _other_modules() if name in path.read_text()]
+    assert modules == []
 
 
-def test_the_product_does_not_import_the_translators() -> None:
-    found = [str(path) for path in _product() if "sablemount.platform" in path.read_text()]
-    assert found == []
+def test_other_packages_do_not_import_the_platform_package() -> None:
+    modules = [str(path) for path in _other_modules() if "sablemount.platform" in path.read_text()]
+    assert modules == []
 
 
-def test_the_translators_are_small() -> None:
-    def lines(folder: str) -> int:
+def test_the_platform_package_is_small() -> None:
+    def count_lines(folder: str) -> int:
         paths = (SOURCE / folder).rglob("*.py")
         return sum(len(path.read_text().splitlines()) for path in paths)
 
-    assert lines("platform") < MOST_SHARE * (lines("jobs") + lines("control"))
+    assert count_lines("platform") < MAX_SHARE * (count_lines("jobs") + count_lines("control"))
--- a/tests/platform/test_closed_connections.py
+++ b/tests/platform/test_closed_connections.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("steps", range(8))
-def test_a_connection_that_ends_with_the_process_is_not_reported_as_an_error(steps: int) -> None:
+def test_a_connection_that_ends_with_the_process_is_not_told_as_an_error(steps: int) -> None:
     errors: list[str] = []
     asyncio.run(_end_after(steps, errors))
     gc.collect()
--- a/tests/platform/test_codecs.py
+++ b/tests/platform/test_codecs.py
@@ -1,4 +1,4 @@
-"""What is read and written in the platform's words."""
+"""Encoding and decoding of the platform's formats."""
 
 import contextlib
 import json
@@ -72,11 +72,17 @@
     }
     body = {"spec": "s", "steps": [step], "maxRuns": 4, "startAtMs": 10, "intervalMs": 5}
     job = decode_job(json.dumps(body).encode())
-    (told,) = job.steps
-    assert told.shape == Shape(500, 256, 1)
-    assert told.charge == Shape(0, 256, 1)
-    assert (told.label, told.rack, told.spread, told.may_miss) == ("b", "r1-3", 2, 1)
-    assert told.gang and told.same_rack and told.speculative and told.lasting and told.saves
+    (decoded,) = job.steps
+    assert decoded.shape == Shape(500, 256, 1)
+    assert decoded.charge == Shape(0, 256, 1)
+    assert (decoded.label, decoded.rack, decoded.spread, decoded.may_miss) == ("b", "r1-3", 2, 1)
+    assert (
+        decoded.gang
+        and decoded.same_rack
+        and decoded.speculative
+        and decoded.lasting
+        and decoded.saves
+    )
     assert [job.due_ms(number) for number in job.repetitions()] == [10, 15, 20, 25]
 
 
@@ -134,7 +140,7 @@
     assert isinstance(loaded, Ok)
     member = settings.member_settings(loaded.ok_value)
     assert member.rpc_address == "10.1.0.13:7720"
-    # A lease is never longer than wanted, nor than the platform grants.
+    # A lease is never longer than the maximum, nor than the platform grants.
     assert (member.jobs.lease, member.jobs.state_kept) == (6.0, 90.0)
     assert (member.fail_closed, member.revoke_after) == (True, 2.5)
     assert member.jobs.cap_overage == 0.1
@@ -143,7 +149,7 @@
     assert settings.member_settings(short).jobs.lease == 4.0
 
 
-def test_the_bytes_that_the_store_takes_are_read() -> None:
+def test_the_size_limits_of_the_store_are_read() -> None:
     store = {"addr": "10.200.1.7:8169", "record_bytes": 1_000, "call_bytes": 9_000}
     text = json.dumps(SETTINGS | {"platform": store})
     boot = msgspec.json.decode(text, type=settings.BootSettings)
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -1,7 +1,7 @@
-"""Another writer's entries beside the VMs' own name no VM to use, and hide none.
+"""Invalid entries, written by others to the workers' topic, add no VM and hide no valid one.
 
-An entry of a state that is not named, or with less than no cores, was a VM to use; one key that is
-no UTF-8 made its whole page of the list unreadable, so that a leader knew no VMs at all.
+Entries with an unknown state or negative capacity were once accepted as VMs, and a single key that
+is not valid UTF-8 made its whole page of the list undecodable, so that a leader knew no VMs at all.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
     "clockMs": 482113,
     "seq": 4,
 }
-NEEDED = ("service", "addr", "zone", "version", "slots", "state", "capacity", "seq")
+REQUIRED_FIELDS = ("service", "addr", "zone", "version", "slots", "state", "capacity", "seq")
 
 
 def _vm(entry: object, key: str = "i-1") -> VmInfo | None:
@@ -41,15 +41,15 @@
 
 
 def test_a_vms_own_entry_is_read() -> None:
-    told = _vm(ENTRY)
-    assert told is not None
-    assert (told.name, told.pool, told.capacity.cores) == ("i-1", "desk", 16_000)
+    info = _vm(ENTRY)
+    assert info is not None
+    assert (info.name, info.pool, info.capacity.cores) == ("i-1", "desk", 16_000)
     assert _vm({**ENTRY, "state": "draining", "remainingMs": 2000, "machine": "m-1"}) is not None
-    without_defaults = {name: ENTRY[name] for name in NEEDED}
+    without_defaults = {name: ENTRY[name] for name in REQUIRED_FIELDS}
     assert _vm(without_defaults) is not None
 
 
-@pytest.mark.parametrize("name", NEEDED)
+@pytest.mark.parametrize("name", REQUIRED_FIELDS)
 def test_an_entry_without_a_field_names_no_vm(name: str) -> None:
     assert _vm({key: value for key, value in ENTRY.items() if key != name}) is None
 
@@ -89,7 +89,7 @@
     ],
     ids=str,
 )
-def test_an_entry_that_cannot_be_meant_names_no_vm(change: dict[str, object]) -> None:
+def test_an_entry_with_an_invalid_value_names_no_vm(change: dict[str, object]) -> None:
     assert _vm({**ENTRY, **change}) is None
 
 
@@ -119,16 +119,16 @@
         json.dumps(line.__dict__, default=str).encode()
 
 
-class _Canned(UpstreamPool):
-    """Gives one answer and keeps what it was asked."""
+class _FixedResponsePool(UpstreamPool):
+    """Answers all requests with one body and records their paths."""
 
     def __init__(self, body: bytes) -> None:
         super().__init__(1, 1.0)
         self.body = body
-        self.asked: list[str] = []
+        self.paths: list[str] = []
 
     async def fetch(self, address: str, path: str, *others: Any, **named: Any) -> Answer:
-        self.asked.append(path)
+        self.paths.append(path)
         return Answer(200, {}, self.body)  # type: ignore[arg-type]
 
 
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("key", [b"\xff\xfe", b"\\ud800", b"a b&c=d%41", b""])
 def test_a_key_that_cannot_be_read_hides_no_other(key: bytes) -> None:
     async def scenario() -> None:
-        pool = _Canned(_page(_item(b"i-1"), _item(key), _item(b"i-3")))
+        pool = _FixedResponsePool(_page(_item(b"i-1"), _item(key), _item(b"i-3")))
         page = await PlatformStore("x", pool).newest(Topic.VMS, "", 1.0)
         assert isinstance(page, Page)
         assert [row.record.key for row in page.items if row.record.key[:2] == "i-"] == [
@@ -156,7 +156,7 @@
 
 def test_a_value_that_is_no_base64_hides_no_other() -> None:
     async def scenario() -> None:
-        pool = _Canned(_page(_item(b"i-1", "*"), _item(b"i-2")))
+        pool = _FixedResponsePool(_page(_item(b"i-1", "*"), _item(b"i-2")))
         page = await PlatformStore("x", pool).newest(Topic.VMS, "", 1.0)
         assert isinstance(page, Page)
         assert page.items[-1].record == Record("i-2", b"x")
@@ -171,9 +171,9 @@
 )
 def test_a_page_goes_on_after_any_key(after: str, query: str) -> None:
     async def scenario() -> None:
-        pool = _Canned(_page())
+        pool = _FixedResponsePool(_page())
         await PlatformStore("x", pool).newest(Topic.VMS, after, 1.0)
-        assert pool.asked[0].endswith(f"&dependsOn={query}")
+        assert pool.paths[0].endswith(f"&dependsOn={query}")
 
     asyncio.run(scenario())
 
@@ -183,7 +183,7 @@
         body = b"\x00" * 16
         for key in (b"i-1", b"\xff\xfe", b"i-3"):
             body += (2 + len(key)).to_bytes(4, "big") + bytes([len(key)]) + key + b"v"
-        result = await PlatformStore("x", _Canned(body)).read(Topic.VMS, 5, 0.0)
+        result = await PlatformStore("x", _FixedResponsePool(body)).read(Topic.VMS, 5, 0.0)
         assert isinstance(result, Records)
         assert [record.key for record in result.records] == ["i-1", "\udcff\udcfe", "i-3"]
         assert result.end == 8
@@ -191,12 +191,12 @@
     asyncio.run(scenario())
 
 
-def _info(name: str, pool: str) -> VmInfo:
+def _vm_info(name: str, pool: str) -> VmInfo:
     return VmInfo(name, f"a-{name}", pool, CAPACITY)
 
 
 @pytest.mark.parametrize(
-    "tell",
+    "report",
     [
         lambda rig, info: rig.scheduler.told(info),
         lambda rig, info: rig.scheduler.listed([info]),
@@ -204,11 +204,11 @@
     ids=["told", "listed"],
 )
 def test_a_vm_of_a_service_that_is_not_named_is_used_once_it_is(
-    tell: Callable[[Rig, VmInfo], object],
+    report: Callable[[Rig, VmInfo], object],
 ) -> None:
     rig = Rig(vms=0)
     rig.scheduler.configured(Configuration(2, pools=frozenset({"pool"})))
-    tell(rig, _info("x", "other"))
+    report(rig, _vm_info("x", "other"))
     assert "x" not in rig.scheduler.state.vms
     rig.commit()
     assert "w/x" not in rig.store
@@ -217,7 +217,7 @@
 
 
 def test_the_service_that_an_entry_names_is_read_from_the_configuration() -> None:
-    told = {"version": 1, "services": [{"name": "desk"}, {"name": "forge"}]}
-    found = PlatformDirectory().configuration(Record("config", json.dumps(told).encode()))
-    assert found is not None
-    assert found.pools == {"desk", "forge"}
+    entry = {"version": 1, "services": [{"name": "desk"}, {"name": "forge"}]}
+    configuration = PlatformDirectory().configuration(Record("config", json.dumps(entry).encode()))
+    assert configuration is not None
+    assert configuration.pools == {"desk", "forge"}
--- a/tests/platform/test_organisations.py
+++ b/tests/platform/test_organisations.py
@@ -49,7 +49,7 @@
 # -- The configuration -----------------------------------------------------------------------
 
 
-def test_organisations_are_decoded_completely() -> None:
+def test_organisations_are_decoded_whole() -> None:
     configuration = PlatformDirectory().configuration(_record(tenants=TENANTS, limits=LIMITS))
     assert configuration is not None
     assert configuration.keyed
@@ -63,7 +63,7 @@
     assert configuration.limits == RequestLimits(16_384, 262_144, 3.0, 15.0)
 
 
-def test_a_public_route_is_recognised() -> None:
+def test_a_public_route_is_told_apart() -> None:
     route = {"name": "r", "host": "h", "pathPrefix": "/p/", "service": "s"}
     record = _record(routes=[route, route | {"public": True}])
     configuration = PlatformDirectory().configuration(record)
@@ -142,7 +142,7 @@
         ("Bearer abc", "Basic abc"),
     ],
 )
-def test_a_malformed_key_is_none(lines: tuple[str, ...]) -> None:
+def test_what_is_no_key_is_none(lines: tuple[str, ...]) -> None:
     assert digest_of(_headers(*lines)) is None
 
 
@@ -151,7 +151,7 @@
         st.characters(min_codepoint=32, max_codepoint=255, exclude_characters="\x7f"), max_size=200
     )
 )
-def test_any_header_line_is_a_key_or_none(line: str) -> None:
+def test_any_line_is_a_key_or_none(line: str) -> None:
     digest = digest_of(_headers("Bearer " + line.replace(",", "")))
     assert digest is None or len(digest) == 32
 
@@ -250,7 +250,7 @@
         assert not any(key.encode() in text for text in frames + written + bodies)
 
 
-def test_a_task_larger_than_the_cap_is_refused_with_its_field() -> None:
+def test_what_a_cap_can_never_hold_is_refused_with_its_field() -> None:
     async def scenario(pair: ProcessPair) -> None:
         _configure_tenants(pair)
 
--- a/tests/platform/test_request_limits.py
+++ b/tests/platform/test_request_limits.py
@@ -69,7 +69,7 @@
 }
 
 
-def test_requests_that_are_too_large_are_refused() -> None:
+def test_what_is_too_large_is_refused() -> None:
     async def check(pair: ProcessPair) -> None:
         statuses = {
             name: _statuses(await _exchange(pair, text)) for name, (text, _) in SIZED.items()
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -116,7 +116,7 @@
     asyncio.run(run())
 
 
-def test_a_job_is_accepted_run_and_reported_by_any_process() -> None:
+def test_a_job_is_accepted_run_and_told_by_any_process() -> None:
     async def scenario(pair: ProcessPair) -> None:
         job = "5c0e7a21d94b36f8"
         pair.standin.cell.jobs[job] = decode_job(json.dumps(JOB).encode())
@@ -159,7 +159,7 @@
     run_scenario(scenario)
 
 
-def test_log_lines_name_the_leader_that_accepted_a_job_or_does_not_know_it(
+def test_lines_tell_which_leader_accepted_a_job_and_which_does_not_know_one(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     logging.getLogger("sablemount").propagate = True
@@ -183,7 +183,7 @@
     assert refused["epoch"] == 1
 
 
-def test_a_cancelled_job_is_reported_as_such_and_stops() -> None:
+def test_a_cancelled_job_is_told_so_and_stops() -> None:
     async def scenario(pair: ProcessPair) -> None:
         pair.standin.cell.seconds = 60.0
         job = "00000000000000ca"
