--- a/src/sablemount/adapters/ending_server.py
+++ b/src/sablemount/adapters/ending_server.py
@@ -48,7 +48,7 @@
         final = options.pop("final", None)
         self._final = final if isinstance(final, bytes) else final_answer(b"{}")
         super().initialize(*args, **options)  # type: ignore[arg-type]
-        self._ending = False
+        self._shutting_down = False
         self._idle: set[iostream.IOStream] = set()
         """Connections of whose next request no byte has been read."""
         self._partial: set[iostream.IOStream] = set()
@@ -94,7 +94,7 @@
     ) -> bytes:
         """Wait for a request for as long as the connection may be idle, then read its headers."""
         self._idle.add(stream)
-        if self._ending:
+        if self._shutting_down:
             self._send_final(stream)
         try:
             async with asyncio.timeout(self.idle_seconds):
@@ -144,7 +144,7 @@
         From now on a connection gets the final response instead of serving its next request, and
         a new connection instead of serving its first.
         """
-        self._ending = True
+        self._shutting_down = True
         idle = list(self._idle)
         for stream in idle:
             self._send_final(stream)
@@ -157,7 +157,7 @@
         accepted; later ones are refused.
         """
         for listener in self._sockets.values():
-            self._accept_waiting(listener)
+            self._accept_pending(listener)
         self.stop()
         idle = self.leave_idle()
         partial = list(self._partial)
@@ -165,7 +165,7 @@
             self._send_final(stream)
         return idle + len(partial)
 
-    def _accept_waiting(self, listener: socket.socket) -> None:
+    def _accept_pending(self, listener: socket.socket) -> None:
         """Accept pending connections, which closing the listener would reset."""
         while True:
             try:
--- a/src/sablemount/adapters/upstream.py
+++ b/src/sablemount/adapters/upstream.py
@@ -16,7 +16,7 @@
 
 __all__ = ["Answer", "CutShort", "NotSent", "Parts", "UpstreamPool"]
 
-IDLE_SECONDS = 4.0
+IDLE_TIMEOUT_S = 4.0
 """Seconds for which an idle connection may be reused; upstreams commonly close idle connections
 after a longer time."""
 SUSPECT_AFTER = 0.1
@@ -86,11 +86,19 @@
 class _ResponseCollector(httputil.HTTPMessageDelegate):
     """Collects one response; ``complete`` is set only once all of it has arrived."""
 
-    __slots__ = ("_pending", "_parts", "timeout_scope", "chunks", "complete", "headers", "status")
-
-    def __init__(self, pending: _PendingCall, parts: Parts | None) -> None:
+    __slots__ = (
+        "_pending",
+        "_streaming",
+        "timeout_scope",
+        "chunks",
+        "complete",
+        "headers",
+        "status",
+    )
+
+    def __init__(self, pending: _PendingCall, streaming: Parts | None) -> None:
         self._pending = pending
-        self._parts = parts
+        self._streaming = streaming
         self.timeout_scope: asyncio.Timeout | None = None
         """The time limit for the response."""
         self.status = NO_STATUS
@@ -117,9 +125,9 @@
         """Store a part of the body; its call is no longer overdue."""
         self.chunks.append(chunk)
         self._pending.overdue_at = float("inf")
-        if self._parts is not None:
-            self._parts.arrived(len(chunk))
-            self._extend_timeout(self._parts.silence)
+        if self._streaming is not None:
+            self._streaming.arrived(len(chunk))
+            self._extend_timeout(self._streaming.silence)
 
     def _extend_timeout(self, seconds: float) -> None:
         timeout_scope = self.timeout_scope
@@ -138,7 +146,7 @@
 class UpstreamPool:
     """Reusable connections to upstreams, a limited number to each address."""
 
-    def __init__(self, per_address: int, idle_seconds: float = IDLE_SECONDS) -> None:
+    def __init__(self, per_address: int, idle_seconds: float = IDLE_TIMEOUT_S) -> None:
         self._per_address = per_address
         self._idle_seconds = idle_seconds
         self._client = tcpclient.TCPClient()
--- a/src/sablemount/platform/front.py
+++ b/src/sablemount/platform/front.py
@@ -263,8 +263,8 @@
 def _body(reply: CallerReply) -> bytes:
     if reply.outcome is not Outcome.DONE:
         path = reply.path
-        for own, outer in PLATFORM_FIELD_NAMES.items():
-            path = path.replace(own, outer)
+        for product_name, platform_name in PLATFORM_FIELD_NAMES.items():
+            path = path.replace(product_name, platform_name)
         return _ENCODER.encode(_ErrorBody(reply.reason, path))
     if reply.waiting >= 0:
         return _ENCODER.encode({"waiting": reply.waiting})
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -149,27 +149,27 @@
         return 409, {"reason": "seq", "seq": result.wanted}
 
     def _newest(self, topic: Topic, after: str) -> tuple[int, object]:
-        kept = self.store.topics[topic]
-        keys = [key for key in sorted(kept.newest) if key > after]
+        log = self.store.topics[topic]
+        keys = [key for key in sorted(log.newest) if key > after]
         items = [
             {
                 "key": key,
-                "value": base64.b64encode(kept.newest[key].record.value).decode(),
-                "offset": kept.newest[key].offset,
+                "value": base64.b64encode(log.newest[key].record.value).decode(),
+                "offset": log.newest[key].offset,
             }
             for key in keys[: self.page]
         ]
-        return 200, {"items": items, "more": len(keys) > self.page, "end": kept.end}
+        return 200, {"items": items, "more": len(keys) > self.page, "end": log.end}
 
     async def _read(self, topic: Topic, offset: int, wait_ms: int) -> tuple[int, object]:
-        kept = self.store.topics[topic]
-        if kept.first <= offset and offset >= kept.end:
-            await asyncio.wait([asyncio.ensure_future(kept.changed.wait())], timeout=wait_ms / 1000)
-        found = kept.after(offset)
-        if isinstance(found, Trimmed):
-            return 410, {"first": kept.first}
-        body = kept.end.to_bytes(8, "big") + kept.first.to_bytes(8, "big")
-        for record in found.records:
+        log = self.store.topics[topic]
+        if log.first <= offset and offset >= log.end:
+            await asyncio.wait([asyncio.ensure_future(log.changed.wait())], timeout=wait_ms / 1000)
+        page = log.after(offset)
+        if isinstance(page, Trimmed):
+            return 410, {"first": log.first}
+        body = log.end.to_bytes(8, "big") + log.first.to_bytes(8, "big")
+        for record in page.records:
             key = record.key.encode(errors=KEY_ERRORS)
             body += (1 + len(key) + len(record.value)).to_bytes(4, "big")
             body += bytes([len(key)]) + key + record.value
--- a/tests/platform/test_node_logs.py
+++ b/tests/platform/test_node_logs.py
@@ -29,7 +29,7 @@
         ("", 0),
     ],
 )
-def test_internal_errors_are_found(tmp_path: Path, text: str, count: int) -> None:
+def test_faults_of_its_own_are_found(tmp_path: Path, text: str, count: int) -> None:
     log = tmp_path / "n0.log"
     log.write_text(text)
     assert len(internal_errors(log)) == count
--- a/tests/platform/test_standin.py
+++ b/tests/platform/test_standin.py
@@ -41,7 +41,7 @@
         writer.close()
 
 
-def test_a_connection_whose_answer_was_lost_sends_nothing_further() -> None:
+def test_a_connection_whose_answer_was_lost_says_nothing_further() -> None:
     async def scenario() -> None:
         standin = Standin()
         host, _, port = standin.store_address.rpartition(":")
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -236,8 +236,8 @@
         sizes: list[int] = []
         started_at = time.monotonic()
         with pytest.raises(CutShort):
-            parts = Parts(0.6, sizes.append)
-            await pool.fetch(server.address, "/list", b"hi", {}, 0.3, parts=parts)
+            streaming = Parts(0.6, sizes.append)
+            await pool.fetch(server.address, "/list", b"hi", {}, 0.3, parts=streaming)
         # Without the part, the call would have timed out after 0.3 s.
         assert time.monotonic() - started_at > 0.5
         assert sizes == [len(b"good")]
@@ -250,9 +250,9 @@
         received_part = asyncio.Event()
         await asyncio.gather(post(pool, server), post(pool, server))
         assert pool._open == {server.address: 2}
-        parts = Parts(5.0, lambda size: received_part.set())
+        streaming = Parts(5.0, lambda size: received_part.set())
         long_call = asyncio.create_task(
-            pool.fetch(server.address, "/list", b"hi", {}, 5.0, parts=parts)
+            pool.fetch(server.address, "/list", b"hi", {}, 5.0, parts=streaming)
         )
         await received_part.wait()
         await asyncio.sleep(2 * SUSPECT_AFTER)
