--- a/tests/platform/test_kept_soaks.py
+++ b/tests/platform/test_kept_soaks.py
@@ -1,4 +1,4 @@
-"""Each soak run that found a fault is kept, with the test that reproduces the fault without it."""
+"""Each soak run that found a fault is kept, with the test that reproduces its fault directly."""
 
 from benchmarks.kept_soaks import SEEDS, read
 from benchmarks.process_soak import faults_named
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -251,10 +251,10 @@
         await pair.until(refused)
         pair.standin.store.down = False
 
-        async def taken() -> bool:
+        async def accepted() -> bool:
             return (await pair.call(1, "POST", PREFIX + submitted[-1], JOB)).code == 200
 
-        await pair.until(taken)
+        await pair.until(accepted)
 
     run_scenario(scenario)
 
