--- a/src/sablemount/platform/front.py
+++ b/src/sablemount/platform/front.py
@@ -180,7 +180,7 @@
         self.closing = True
         self.server.conn_params.no_keep_alive = True
 
-    def refuse(self) -> None:
+    def refuse_new_calls(self) -> None:
         """Refuse new calls at once, including those already on their way over idle connections."""
         if self.refusing:
             return
--- a/src/sablemount/platform/main.py
+++ b/src/sablemount/platform/main.py
@@ -116,7 +116,7 @@
         deadline = started_at + self.boot.bounds.grace_s - STOP_MARGIN_S
         while monotonic() < deadline:
             if monotonic() - started_at > STOP_SERVING_S:
-                self.front.refuse()
+                self.front.refuse_new_calls()
                 if handover.done() and self.front.served_out:
                     break
             await asyncio.sleep(STOP_POLL_S)
