--- a/src/sablemount/adapters/ending_server.py
+++ b/src/sablemount/adapters/ending_server.py
@@ -138,7 +138,7 @@
 
     # -- Shutdown ----------------------------------------------------------------------------
 
-    def leave_idle(self) -> int:
+    def close_idle(self) -> int:
         """Send the final response on idle connections and return their number.
 
         From now on a connection gets the final response instead of serving its next request, and
@@ -159,7 +159,7 @@
         for listener in self._sockets.values():
             self._accept_pending(listener)
         self.stop()
-        idle = self.leave_idle()
+        idle = self.close_idle()
         partial = list(self._partial)
         for stream in partial:
             self._send_final(stream)
--- a/src/sablemount/platform/front.py
+++ b/src/sablemount/platform/front.py
@@ -186,7 +186,7 @@
             return
         self.refusing = True
         _logger.info("refusing new calls", extra={"in_flight": self.in_flight})
-        closed = self.server.leave_idle()
+        closed = self.server.close_idle()
         if closed:
             self._member.figures.count("connection_ended", "idle", closed)
 
--- a/tests/platform/test_crossing.py
+++ b/tests/platform/test_crossing.py
@@ -8,8 +8,8 @@
 
 
 class _Writer:
-    def __init__(self, crossing: Crossing) -> None:
-        self._crossing = crossing
+    def __init__(self, faults: Crossing) -> None:
+        self._faults = faults
         self.order: list[int] = []
 
     async def write(self, number: int) -> int:
@@ -17,7 +17,7 @@
             self.order.append(number)
             return 200, {}
 
-        return (await self._crossing.write(carry_out))[0]
+        return (await self._faults.write(carry_out))[0]
 
     async def many(self) -> list[int]:
         """Send ten writes at once and return their statuses in the order of sending."""
@@ -31,18 +31,18 @@
 
 
 def test_late_writes_overtake_one_another_and_are_all_answered() -> None:
-    crossing = Crossing(random.Random(1))
-    crossing.late = 0.5
-    writer = _Writer(crossing)
+    faults = Crossing(random.Random(1))
+    faults.late = 0.5
+    writer = _Writer(faults)
     assert run(writer.many()) == [200] * 10
     assert writer.order != list(range(10))
     assert sorted(writer.order) == list(range(10))
 
 
 def test_dropped_writes_are_never_carried_out() -> None:
-    crossing = Crossing(random.Random(1))
-    crossing.dropped = 1.0
-    writer = _Writer(crossing)
+    faults = Crossing(random.Random(1))
+    faults.dropped = 1.0
+    writer = _Writer(faults)
 
     async def wait_for_all() -> list[int]:
         statuses = await writer.many()
@@ -54,9 +54,9 @@
 
 
 def test_deferred_writes_are_carried_out_once_without_an_answer() -> None:
-    crossing = Crossing(random.Random(1))
-    crossing.deferred = 1.0
-    writer = _Writer(crossing)
+    faults = Crossing(random.Random(1))
+    faults.deferred = 1.0
+    writer = _Writer(faults)
 
     async def wait_for_all() -> list[int]:
         statuses = await writer.many()
@@ -69,9 +69,9 @@
 
 
 def test_writes_are_in_time_again_once_it_is_calm() -> None:
-    crossing = Crossing(random.Random(1))
-    crossing.late = crossing.dropped = crossing.deferred = 1.0
-    crossing.calm()
-    writer = _Writer(crossing)
+    faults = Crossing(random.Random(1))
+    faults.late = faults.dropped = faults.deferred = 1.0
+    faults.calm()
+    writer = _Writer(faults)
     assert run(writer.many()) == [200] * 10
     assert writer.order == list(range(10))
--- a/tests/test_ending_server.py
+++ b/tests/test_ending_server.py
@@ -58,7 +58,7 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("end", [EndingServer.leave_idle, EndingServer.end])
+@pytest.mark.parametrize("end", [EndingServer.close_idle, EndingServer.end])
 def test_an_idle_connection_is_told_that_it_is_over(end: Callable[[EndingServer], int]) -> None:
     async def scenario(harness: _TestServer) -> None:
         reader, writer = await harness.connect()
@@ -76,7 +76,7 @@
     async def scenario(harness: _TestServer) -> None:
         reader, writer = await harness.connect()
         await asyncio.sleep(0)
-        harness.server.leave_idle()
+        harness.server.close_idle()
         for _ in range(calls):
             writer.write(CALL)
         assert await reader.read() == FINAL
@@ -93,7 +93,7 @@
         reader, writer = await harness.connect()
         writer.write(CALL[:sent])
         await until(lambda: bool(harness.server._partial))
-        assert harness.server.leave_idle() == 0
+        assert harness.server.close_idle() == 0
         assert harness.server.end() == 1
         writer.write(CALL[sent:])
         assert await reader.read() == FINAL
@@ -139,7 +139,7 @@
 
 def test_a_connection_that_comes_after_the_idle_ones_ended_has_the_final_answer() -> None:
     async def scenario(harness: _TestServer) -> None:
-        harness.server.leave_idle()
+        harness.server.close_idle()
         reader, writer = await harness.connect()
         assert await reader.read() == FINAL
         writer.close()
