--- a/benchmarks/link_faults.py
+++ b/benchmarks/link_faults.py
@@ -16,7 +16,7 @@
     link = target.link()
     link.delay = target.rng.choice((0.05, 0.3, 1.0))
     await asyncio.sleep(target.rng.uniform(1.0, 6.0))
-    link.calm()
+    link.clear_faults()
 
 
 async def link_silent(target: Target) -> None:
@@ -24,11 +24,11 @@
     link = target.link()
     ways = target.rng.choice(([Direction.THERE], [Direction.BACK], list(Direction)))
     for way in ways:
-        link.silence(way)
+        link.block(way)
     await asyncio.sleep(target.rng.uniform(0.5, 8.0))
     if target.rng.random() < RESET_SHARE:
         link.reset()
-    link.calm()
+    link.clear_faults()
 
 
 async def links_reset(target: Target) -> None:
@@ -45,7 +45,7 @@
     while asyncio.get_running_loop().time() < end:
         link.reset_after = target.rng.choice((0, 1, target.rng.randint(2, 400), 4_000))
         await asyncio.sleep(target.rng.uniform(0.05, 0.5))
-    link.calm()
+    link.clear_faults()
 
 
 LINK_FAULTS: tuple[Fault, ...] = (link_slow, link_silent, links_reset, link_reset_at_a_byte)
--- a/benchmarks/node_faults.py
+++ b/benchmarks/node_faults.py
@@ -127,14 +127,14 @@
             if leader is not None:
                 await leader.kill()
                 await target.back([leader], target.rng.uniform(0.0, 0.5))
-        target.standin.crossing.calm()
+        target.standin.write_faults.clear()
 
 
 def _disturb_writes(target: Target) -> None:
-    crossing = target.standin.crossing
-    crossing.late = target.rng.uniform(0.05, 0.4)
-    crossing.dropped = target.rng.choice((0.0, 0.3))
-    crossing.deferred = target.rng.choice((0.0, 0.3))
+    crossing = target.standin.write_faults
+    crossing.max_delay = target.rng.uniform(0.05, 0.4)
+    crossing.dropped_share = target.rng.choice((0.0, 0.3))
+    crossing.deferred_share = target.rng.choice((0.0, 0.3))
 
 
 async def freeze(target: Target) -> None:
@@ -255,23 +255,23 @@
 
 async def writes_late(target: Target) -> None:
     """Let writes arrive late, so that they overtake one another."""
-    target.standin.crossing.late = target.rng.uniform(0.05, 0.6)
+    target.standin.write_faults.max_delay = target.rng.uniform(0.05, 0.6)
     await asyncio.sleep(target.rng.uniform(1.0, 6.0))
-    target.standin.crossing.late = 0.0
+    target.standin.write_faults.max_delay = 0.0
 
 
 async def writes_dropped(target: Target) -> None:
     """Let some writes never arrive."""
-    target.standin.crossing.dropped = target.rng.uniform(0.2, 0.5)
+    target.standin.write_faults.dropped_share = target.rng.uniform(0.2, 0.5)
     await asyncio.sleep(target.rng.uniform(1.0, 6.0))
-    target.standin.crossing.dropped = 0.0
+    target.standin.write_faults.dropped_share = 0.0
 
 
 async def writes_deferred(target: Target) -> None:
     """Let some writes be carried out seconds later, without an answer."""
-    target.standin.crossing.deferred = target.rng.uniform(0.2, 0.5)
+    target.standin.write_faults.deferred_share = target.rng.uniform(0.2, 0.5)
     await asyncio.sleep(target.rng.uniform(1.0, 6.0))
-    target.standin.crossing.deferred = 0.0
+    target.standin.write_faults.deferred_share = 0.0
 
 
 async def history_forgotten(target: Target) -> None:
@@ -404,10 +404,10 @@
 
 async def tasks_crash_vms_whose_ids_stay(target: Target) -> None:
     """Let tasks crash VMs that start again under their ids."""
-    target.standin.ids_stay = True
+    target.standin.restart_keeps_id = True
     await tasks_crash(target)
     await asyncio.sleep(target.rng.uniform(1.0, 4.0))
-    target.standin.ids_stay = False
+    target.standin.restart_keeps_id = False
 
 
 FOREIGN = (b"\xff\xfe", b"{}", b"null", b'{"service":"desk","addr":7}', b"[" * 2_000)
--- a/benchmarks/organisations.py
+++ b/benchmarks/organisations.py
@@ -13,7 +13,7 @@
 from sablemount.control.gate import Gate, key_digest
 from sablemount.control.messages import CallerCall, Operation
 from sablemount.jobs.model import Configuration, Organisation, Queue, QueueTerms, Shape, StepSpec
-from sablemount.platform.front import decode_job, digest_of
+from sablemount.platform.front import decode_job, request_key_digest
 from tests.jobs.rig import Rig, spec
 
 QUEUES = 43
@@ -56,7 +56,7 @@
     call = CallerCall(Operation.SUBMIT, "host", "/q7/5c0e7a21d94b36f8", decode_job(BODY))
     keyed = Gate(_configuration(organisations))
     bare = Gate(_configuration(0))
-    with_key = _each(lambda: keyed.admit(call, digest_of(headers)), CALLS)
+    with_key = _each(lambda: keyed.admit(call, request_key_digest(headers)), CALLS)
     return with_key - _each(lambda: bare.admit(call, None), CALLS)
 
 
--- a/benchmarks/process_soak.py
+++ b/benchmarks/process_soak.py
@@ -69,7 +69,7 @@
         self.rng = random.Random(seed)
         self.size = size
         self.standin = Standin()
-        self.standin.page = PAGE
+        self.standin.page_size = PAGE
         self.standin.cell.seconds = TASK_SECONDS
         self.standin.cell.fail_share = 0.02
         self.nodes = Nodes(size.processes, folder, self.standin)
--- a/tests/documents.py
+++ b/tests/documents.py
@@ -1,4 +1,4 @@
-"""Documents that the tests share."""
+"""Template documents that several tests use."""
 
 from sablemount.core.documents import Kind, PriorityClass, Shape, TemplateDocument
 
@@ -27,4 +27,4 @@
 RUSH = TemplateDocument(
     "rueda", "rush", Kind.TASK, PriorityClass.URGENT, Shape(cores=16), expected_seconds=2.0
 )
-ALL = [QUOTE, STOCK, PLAN, LONG, WIDE, TRANSFER, RUSH]
+ALL_DOCUMENTS = [QUOTE, STOCK, PLAN, LONG, WIDE, TRANSFER, RUSH]
--- a/tests/emulator/advice.py
+++ b/tests/emulator/advice.py
@@ -7,7 +7,7 @@
 
 from tornado import httputil
 
-from sablemount.adapters.upstream import Answer
+from sablemount.adapters.upstream import Response
 from sablemount.control.messages import AdviceReply
 from sablemount.jobs.actions import StartRun
 from tests.emulator.loop import outside
@@ -91,9 +91,9 @@
         headers: Mapping[str, str],
         timeout: float,
         waits: float = 0.0,
-    ) -> Answer:
+    ) -> Response:
         told = json.loads(body)
         reply = await self._advice.advise(told["step"], told["workers"], timeout)
         answered = {"good": list(reply.good.items()), "validMs": reply.valid_ms}
         status = 200 if reply.ok else 503
-        return Answer(status, httputil.HTTPHeaders(), json.dumps(answered).encode())
+        return Response(status, httputil.HTTPHeaders(), json.dumps(answered).encode())
--- a/tests/emulator/vm_ports.py
+++ b/tests/emulator/vm_ports.py
@@ -12,7 +12,7 @@
 
 from tornado import httputil
 
-from sablemount.adapters.upstream import Answer, CutShort, NotSent
+from sablemount.adapters.upstream import IncompleteResponse, RequestNotSent, Response
 from sablemount.control.ports import CallError, HoldCall, Started
 from sablemount.jobs.actions import StartRun
 from sablemount.jobs.scheduler import StartRefusal
@@ -140,7 +140,7 @@
         headers: Mapping[str, str],
         timeout: float,
         waits: float = 0.0,
-    ) -> Answer:
+    ) -> Response:
         """Send a call as ``UpstreamPool`` does."""
         told = json.loads(body)
         act = ACTS[path]
@@ -152,13 +152,13 @@
         name = headers["Expect-Instance"]
         result = await self._call(name, address, acted, timeout, refusal)
         if result is CallError.REFUSED:
-            raise NotSent("refused", refused=True)
+            raise RequestNotSent("refused", refused=True)
         if result is CallError.OTHER_INCARNATION:
             result = (421, {})
         if isinstance(result, CallError):
-            raise CutShort(result.value)
+            raise IncompleteResponse(result.value)
         status, answered = result
-        return Answer(status, NO_HEADERS, json.dumps(answered).encode())
+        return Response(status, NO_HEADERS, json.dumps(answered).encode())
 
 
 class EmulatedVms(PlatformWorkers):
--- a/tests/test_false_suspicion.py
+++ b/tests/test_false_suspicion.py
@@ -7,7 +7,7 @@
 
 from sablemount.core import records
 from sablemount.core.config import CoreSettings
-from tests.documents import ALL
+from tests.documents import ALL_DOCUMENTS
 from tests.fakes.cell import LOG, VirtualCell
 from tests.fakes.log import LogMode
 
@@ -20,7 +20,7 @@
     cell = VirtualCell(3, 6, 3, SETTINGS)
     cell.run_until(cell.settled, 30.0)
     cell.run(2.0)
-    cell.publish_all(ALL)
+    cell.publish_all(ALL_DOCUMENTS)
     cell.run(2.0)
     return cell
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 from sablemount.core.config import CoreSettings
 from sablemount.core.tables import VmRow
 from sablemount.core.verdict import Failure, Reason, Served, Verdict
-from tests.documents import ALL
+from tests.documents import ALL_DOCUMENTS
 from tests.fakes.cell import VirtualCell
 
 FAILED = Failure(Verdict.MAY_HAVE_RUN, Reason.UPSTREAM_CUT_SHORT)
@@ -15,7 +15,7 @@
     cell = VirtualCell(1, 10, 2, SETTINGS)
     cell.run_until(cell.settled, 30.0)
     cell.run(2.0)
-    cell.publish_all(ALL)
+    cell.publish_all(ALL_DOCUMENTS)
     return cell
 
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -20,7 +20,7 @@
 from sablemount.core.systems.requests import Requests
 from sablemount.core.systems.stopping import Stopping
 from sablemount.core.verdict import Verdict
-from tests.documents import ALL, PLAN
+from tests.documents import ALL_DOCUMENTS, PLAN
 from tests.fakes.cell import LOG, VirtualCell
 from tests.fakes.worker import FakeWorker
 
@@ -31,7 +31,7 @@
 def make_cell(members: int = 3, vms: int = 3, settings: CoreSettings = SETTINGS) -> VirtualCell:
     cell = VirtualCell(members, vms, seed=7, settings=settings)
     cell.run_until(cell.settled, 30.0)
-    cell.publish_all(ALL)
+    cell.publish_all(ALL_DOCUMENTS)
     return cell
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -17,7 +17,7 @@
 from sablemount.core.rows import TaskRow
 from sablemount.core.verdict import Reason, Verdict
 from sablemount.core.waiting import WaitQueue
-from tests.documents import ALL, LONG, QUOTE, RUSH, WIDE
+from tests.documents import ALL_DOCUMENTS, LONG, QUOTE, RUSH, WIDE
 from tests.fakes.cell import VirtualCell
 from tests.fakes.log import LogMode
 from tests.fakes.worker import LIVE
@@ -29,7 +29,7 @@
     cell = VirtualCell(3, vms, seed, settings)
     cell.run_until(cell.settled, 30.0)
     cell.run(2.0)
-    cell.publish_all(ALL)
+    cell.publish_all(ALL_DOCUMENTS)
     return cell
 
 
@@ -247,7 +247,7 @@
     settings = CoreSettings(shards=9, tick=0.02, append_budget=90.0)
     cell = VirtualCell(9, 12, 5, settings)
     cell.run_until(cell.settled, 30.0)
-    cell.publish_all(ALL)
+    cell.publish_all(ALL_DOCUMENTS)
     highest = 0
     for index in range(1_600):
         job, member = f"job-{index}", f"s{index % 9}"
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -2,7 +2,7 @@
 
 from sablemount.core.config import CoreSettings
 from sablemount.core.ledger_image import image_of
-from tests.documents import ALL
+from tests.documents import ALL_DOCUMENTS
 from tests.fakes.cell import LOG, Member, VirtualCell
 from tests.fakes.log import LogMode
 
@@ -13,7 +13,7 @@
 def make_cell(retention: int = RETENTION) -> VirtualCell:
     cell = VirtualCell(3, 6, 11, SETTINGS, retention)
     cell.run_until(cell.settled, 30.0)
-    cell.publish_all(ALL)
+    cell.publish_all(ALL_DOCUMENTS)
     return cell
 
 
--- a/tests/test_structured_logs.py
+++ b/tests/test_structured_logs.py
@@ -13,8 +13,8 @@
 from sablemount.jobs.records import JobRecord
 from sablemount.jobs.tables import JobRow, RunCompletion, StepRow, VmRow
 from sablemount.structured_logs import (
-    DECISION_BURST,
-    RUN_BURST,
+    DECISION_BURST_BYTES,
+    RUN_BURST_BYTES,
     RUN_LOGGER,
     BoundedHandler,
     StructuredFormatter,
@@ -60,8 +60,8 @@
 @pytest.mark.parametrize(
     ("name", "burst", "field"),
     [
-        ("sablemount.jobs", DECISION_BURST, "dropped_decisions"),
-        (RUN_LOGGER, RUN_BURST, "dropped_runs"),
+        ("sablemount.jobs", DECISION_BURST_BYTES, "dropped_decisions"),
+        (RUN_LOGGER, RUN_BURST_BYTES, "dropped_runs"),
     ],
 )
 def test_lines_beyond_a_budget_are_dropped_and_counted(name: str, burst: float, field: str) -> None:
@@ -74,7 +74,7 @@
     for _ in range(int(burst / 10_000) + 50):
         logger.info(payload)
         written += sum(len(line["message"]) for line in _LineReader(reading).lines())
-    budget = handler.runs if name == RUN_LOGGER else handler.decisions
+    budget = handler.run_budget if name == RUN_LOGGER else handler.decision_budget
     assert 45 <= budget.dropped <= 60
     assert written <= burst + 20_000
     now[0] = 1.0
@@ -90,8 +90,8 @@
         logger = _logger(handler, name)
         for _ in range(2_000):
             logger.info("x" * 1_000)
-    assert handler.decisions.dropped > 0
-    assert handler.runs.dropped == 2_000
+    assert handler.decision_budget.dropped > 0
+    assert handler.run_budget.dropped == 2_000
 
 
 def test_decision_lines_wait_for_a_reader_complete_and_in_order() -> None:
@@ -130,8 +130,8 @@
         lines += found
     for message in ("step placed", "job ended"):
         assert sum(1 for line in lines if line["message"] == message) == SECONDS * JOBS
-    assert handler.decisions.dropped == 0
-    assert handler.runs.dropped > 0
+    assert handler.decision_budget.dropped == 0
+    assert handler.run_budget.dropped > 0
     assert size / SECONDS < 200_000
 
 
