--- a/src/sablemount/core/state.py
+++ b/src/sablemount/core/state.py
@@ -1,4 +1,4 @@
-"""The state of one scheduler: its tables, its time and its outgoing actions."""
+"""State of one scheduler: its tables, its current time and its outgoing actions."""
 
 import random
 import zlib
@@ -26,12 +26,18 @@
 
 
 def shard_of(vm: str, shard_count: int) -> int:
-    """Return the shard that a VM belongs to, the same on every scheduler."""
+    """Return the shard of a VM; every scheduler computes the same one."""
     return zlib.crc32(vm.encode()) % shard_count
 
 
 class State:
-    """Tables that the systems run over; all times are local monotonic seconds."""
+    """Tables that the systems read and change; all times are local monotonic seconds.
+
+    The scheduler may act on its shards while ``now`` is below ``lease_until``. ``held_shards``
+    contains the shards that it owns according to the ledger, and ``run_of`` maps a task to its
+    current run. ``last_caught_up_at`` is the time at which the latest read was sent after which
+    the ledger had reached the end of the log.
+    """
 
     def __init__(
         self,
@@ -69,33 +75,33 @@
         self.used_cores: dict[tuple[str, int], int] = {}
         self.used_accelerators: dict[tuple[str, int], int] = {}
         self.job_racks: dict[str, Counter[str]] = {}
-        # Counts what may let a waiting task of a shard fit.
+        # Per shard, the number of changes after which a waiting task may fit.
         self.freed = [0] * settings.shards
         self.drain_notices: dict[str, bool] = {}
 
     # -- Output ------------------------------------------------------------------------------
 
     def emit(self, action: Action) -> None:
-        """Add an action to what the current event gives."""
+        """Add an action to those that the current event returns."""
         self.actions.append(action)
 
     def note_change(self) -> None:
-        """Let every waiting task be looked at again: a document or a share has changed."""
+        """Have all waiting tasks tried again, because a document or a quota share has changed."""
         self.freed = [count + 1 for count in self.freed]
 
     # -- Ownership ---------------------------------------------------------------------------
 
     def leased(self) -> bool:
-        """Tell whether this scheduler may act on its shards at this moment."""
+        """Return whether the lease to act on the held shards is valid at this moment."""
         return self.now < self.lease_until
 
     def active(self, shard: int) -> bool:
-        """Tell whether new work may go to a shard."""
+        """Return whether new work may be placed in a shard."""
         held = self.held.get(shard)
         return held is not None and held.state is HoldState.ACTIVE
 
     def recovered(self, shard: int) -> bool:
-        """Tell whether every run that a former owner started is seen or has lapsed."""
+        """Return whether all runs of previous owners are known or their leases have expired."""
         held = self.held[shard]
         if self.now >= held.lapse_at:
             return True
@@ -105,14 +111,18 @@
     # -- VMs ---------------------------------------------------------------------------------
 
     def leaving(self, row: VmRow) -> bool:
-        """Tell whether a VM is to get no new work: by the list, its own word or an operator's."""
+        """Return whether a VM may get no new work.
+
+        That is so if the VM list, the VM itself or an operator says that it is leaving, or if it
+        is no longer in the VM list.
+        """
         notice = self.drain_notices.get(row.vm)
         drained = row.vm in self.ledger.drained if notice is None else notice
         return row.leaving or row.said_leaving or drained or not row.listed
 
     def reindex(self, row: VmRow) -> None:
-        """Enter a VM into the indexes, or take it out, as its row now says."""
-        # One unanswered poll may hide that the VM is leaving, so it gets nothing new meanwhile.
+        """Add a VM to the indexes or remove it from them, according to its row."""
+        # The answer to a missed poll may have said that the VM is leaving, so nothing new is sent.
         usable = (
             row.stage is VmStage.USABLE
             and not row.missed
@@ -122,7 +132,7 @@
         )
         index = self.free.get(row.shard)
         if index is not None:
-            # More than all may be charged while runs of unknown origin are being told apart.
+            # Runs of unknown origin may be charged beyond the capacity until they are identified.
             if usable and not row.reserved_for and row.free_cores >= 0:
                 index.put(row)
             else:
@@ -138,54 +148,54 @@
     # -- Runs --------------------------------------------------------------------------------
 
     def add_run(self, run: RunRow) -> None:
-        """Enter a run and charge its VM and its organisation for it."""
+        """Add a run, and charge its VM and its organisation for it."""
         self.runs[run.run] = run
         self.run_of[run.task] = run.run
         row = self.vms[run.vm]
         row.runs[run.run] = None
         row.charge(run.shape)
-        self._spend(run, 1)
+        self._charge_quota(run, 1)
         if run.template.preferences.spread:
             self.job_racks.setdefault(run.job, Counter())[row.rack] += 1
         self.reindex(row)
 
     def reshape(self, run: RunRow, shape: Shape) -> None:
-        """Charge a run for another shape, on its worker's word."""
+        """Charge a run for another shape, as reported by its worker."""
         if shape == run.shape:
             return
         row = self.vms[run.vm]
         row.release(run.shape)
-        self._spend(run, -1)
+        self._charge_quota(run, -1)
         run.shape = shape
         row.charge(shape)
-        self._spend(run, 1)
+        self._charge_quota(run, 1)
         self.freed[row.shard] += 1
         self.reindex(row)
 
     def drop_run(self, run: RunRow) -> None:
-        """Take a run out and give back what was charged for it."""
+        """Remove a run and release what was charged for it."""
         del self.runs[run.run]
         if self.run_of.get(run.task) == run.run:
             del self.run_of[run.task]
         row = self.vms[run.vm]
         row.runs.pop(run.run, None)
         row.release(run.shape)
-        self._spend(run, -1)
+        self._charge_quota(run, -1)
         if run.template.preferences.spread:
             self.job_racks[run.job][row.rack] -= 1
         self.freed[row.shard] += 1
         self.reindex(row)
 
-    def _spend(self, run: RunRow, sign: int) -> None:
+    def _charge_quota(self, run: RunRow, sign: int) -> None:
         key = (run.organisation, run.shard)
         self.spend(key, sign * run.shape.cores, sign * run.shape.accelerators)
 
     def spend(self, key: tuple[str, int], cores: int, accelerators: int) -> None:
-        """Book use of an organisation's share in a shard."""
+        """Add to the use of an organisation's quota share in a shard."""
         self.used_cores[key] = self.used_cores.get(key, 0) + cores
         self.used_accelerators[key] = self.used_accelerators.get(key, 0) + accelerators
 
     def task_row(self, run: str) -> TaskRow | None:
-        """Return the open task that a run belongs to."""
+        """Return the task of a run, or ``None`` if it is finished or unknown."""
         row = self.ledger.tasks.get(task_of(run))
         return None if row is None or row.finished else row
--- a/src/sablemount/core/tables.py
+++ b/src/sablemount/core/tables.py
@@ -1,4 +1,4 @@
-"""Tables of the live state that one scheduler keeps; none of it outlives the process."""
+"""Rows of the in-memory state of one scheduler; nothing here is persistent."""
 
 import enum
 
@@ -22,12 +22,12 @@
 
 
 def task_of(run: str) -> str:
-    """Return the task that a run belongs to."""
+    """Return the name of the task that a run belongs to."""
     return run.rsplit(RUN_SEPARATOR, 1)[0]
 
 
 class VmStage(enum.Enum):
-    """What this scheduler knows of a VM of its own shards."""
+    """State of a VM as known to the owner of its shard."""
 
     UNKNOWN = "unknown"
     USABLE = "usable"
@@ -36,11 +36,13 @@
 
 
 class VmRow:
-    """One VM: its capacity, what is granted of it, and how it answers.
+    """One VM: its capacity, the part of it that is in use, and its polls.
 
-    ``requests`` gives for each request sent to it the time at which it was given up, or infinity.
-    ``foreign`` counts slots that requests of other schedulers hold; ``orphans`` are runs that
-    belong to no open task.
+    ``requests`` maps each request sent to the VM to the time at which it was abandoned, or to
+    infinity while it is in flight. ``foreign_slots`` is the number of slots held by requests of
+    other schedulers. ``orphans`` are runs that belong to no open task, with the shapes charged for
+    them. ``reserved_for`` maps the tasks for which preemption frees capacity to their shapes.
+    ``bucket_position`` and ``slot_position`` are the row's positions in the indexes.
     """
 
     __slots__ = (
@@ -119,7 +121,7 @@
         self.slot_place = -1
 
     def forget(self) -> None:
-        """Forget what was learned as the owner; the requests in flight stay charged."""
+        """Discard what only the shard's owner knows; requests in flight stay charged."""
         for shape in self.orphans.values():
             self.release(shape)
         self.free_slots += self.foreign
@@ -134,7 +136,7 @@
         self.missed = 0
 
     def has_room(self, shape: Shape) -> bool:
-        """Tell whether a shape fits into what is free."""
+        """Return whether a shape fits into the free capacity."""
         return (
             shape.cores <= self.free_cores
             and shape.memory_mb <= self.free_memory
@@ -143,14 +145,14 @@
         )
 
     def charge(self, shape: Shape) -> None:
-        """Take a shape from what is free."""
+        """Subtract a shape from the free capacity."""
         self.free_cores -= shape.cores
         self.free_memory -= shape.memory_mb
         self.free_accelerators -= shape.accelerators
         self.free_slots -= shape.slots
 
     def release(self, shape: Shape) -> None:
-        """Give a shape back to what is free."""
+        """Add a shape to the free capacity."""
         self.free_cores += shape.cores
         self.free_memory += shape.memory_mb
         self.free_accelerators += shape.accelerators
@@ -158,10 +160,11 @@
 
 
 class RunStage(enum.Enum):
-    """Where a run stands, as far as its scheduler knows.
+    """State of a run as known to its scheduler.
 
-    ``LAPSED`` is a run whose lease is certainly over while its VM does not answer: the task may
-    run elsewhere, and the VM stays charged until it answers.
+    ``UNCERTAIN`` is a run whose start request has an unknown outcome. ``LAPSED`` is a run whose
+    lease has certainly expired while its VM does not answer: its task may start elsewhere, and the
+    VM stays charged until it answers.
     """
 
     STARTING = "starting"
@@ -173,7 +176,12 @@
 
 
 class RunRow:
-    """One run of a task on a VM; ``shape`` is what is charged for it."""
+    """One run of a task on a VM.
+
+    ``shape`` is what is charged for the run, ``queued_at`` the time at which its task began to
+    wait, and ``lease_ends_by`` the latest time at which the worker may still hold a lease. A poll
+    that was sent before ``start_settles_at`` doesn't show that an uncertain start has failed.
+    """
 
     __slots__ = (
         "asked_at",
@@ -214,7 +222,7 @@
 
 
 class HoldState(enum.Enum):
-    """Where the holding of a shard stands."""
+    """State of a shard that this scheduler owns."""
 
     WAITING = "waiting"
     ACTIVE = "active"
@@ -222,9 +230,11 @@
 
 
 class HeldShard:
-    """A shard that this scheduler owns by the ledger.
+    """A shard that this scheduler owns according to the ledger.
 
-    ``opened`` tells that all that a former owner started is known, so its tasks may be placed.
+    The scheduler acts on the shard from ``active_at`` on, and all leases that a previous owner
+    granted have expired at ``leases_expire_at``. ``recovery_complete`` is set once all runs of
+    previous owners are known or have lapsed, so that every waiting task may be placed.
     """
 
     __slots__ = ("active_at", "epoch", "lapse_at", "opened", "shard", "state")
@@ -239,7 +249,11 @@
 
 
 class PeerRow:
-    """What this scheduler has heard of another member."""
+    """What this scheduler knows of another member.
+
+    ``last_gossip_at`` is the time of its last heartbeat by gossip. ``last_heartbeat_at`` counts
+    its records in the log as heartbeats too.
+    """
 
     __slots__ = (
         "beat",
