--- a/src/sablemount/core/request_queue.py
+++ b/src/sablemount/core/request_queue.py
@@ -1,4 +1,4 @@
-"""Requests between their arrival and their answer, and the bounded queue of those that wait."""
+"""Requests that have not been answered yet, and the bounded queue of those that wait."""
 
 from collections import deque
 
@@ -9,7 +9,13 @@
 
 
 class RequestRow:
-    """A request between its arrival and its answer."""
+    """A request that has not been answered yet.
+
+    ``priority_rank`` is 0 for the highest priority class. ``sent`` is set once the request has
+    been sent to a VM or a peer, and cleared before a retry if it certainly did not run there.
+    ``may_have_run`` is set once an attempt may have run. The next attempt is not made before
+    ``not_before``.
+    """
 
     __slots__ = (
         "arrival",
@@ -39,7 +45,7 @@
 
 
 class RequestQueue:
-    """Waiting requests by class, the best paid first."""
+    """Waiting requests, the highest priority class first and in order of arrival within one."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -47,43 +53,46 @@
 
     @property
     def full(self) -> bool:
-        """Tell whether the queue has reached its limit."""
+        """Return whether the queue has reached its limit."""
         return sum(len(queue) for queue in self._classes) >= self._limit
 
-    def ahead_of(self, order: int) -> int:
-        """Return how many requests go before a new one of a class."""
-        return sum(len(queue) for queue in self._classes[: order + 1])
+    def ahead_of(self, rank: int) -> int:
+        """Return the number of waiting requests that are served before a new one of a class."""
+        return sum(len(queue) for queue in self._classes[: rank + 1])
 
     def push(self, row: RequestRow) -> None:
-        """Enter a request behind its class."""
+        """Append a request to the queue of its class."""
         self._classes[row.order].append(row)
 
     def push_front(self, row: RequestRow) -> None:
-        """Enter a request that has had its turn before."""
+        """Put a request back at the head of the queue of its class."""
         self._classes[row.order].appendleft(row)
 
     def first(self) -> RequestRow | None:
-        """Return the request whose turn it is."""
+        """Return the next request, or ``None`` if none waits."""
         return next((queue[0] for queue in self._classes if queue), None)
 
     def pop(self) -> None:
-        """Take out the request whose turn it is."""
+        """Remove the next request."""
         next(queue for queue in self._classes if queue).popleft()
 
     def pop_least_paid(self, below: int) -> RequestRow | None:
-        """Take out the latest of the least paid class, if it pays less than ``below``."""
-        for order in range(len(self._classes) - 1, below, -1):
-            if self._classes[order]:
-                return self._classes[order].pop()
+        """Remove the newest request of the lowest class, if that ranks below ``below``.
+
+        Return ``None`` if there is no such request.
+        """
+        for rank in range(len(self._classes) - 1, below, -1):
+            if self._classes[rank]:
+                return self._classes[rank].pop()
         return None
 
     def pop_late(self, now: float) -> list[RequestRow]:
-        """Take out the requests whose deadline has passed."""
-        late: list[RequestRow] = []
-        for order, queue in enumerate(self._classes):
+        """Remove and return the requests whose deadline has passed."""
+        expired: list[RequestRow] = []
+        for rank, queue in enumerate(self._classes):
             found = [row for row in queue if row.arrival.deadline <= now]
             if found:
-                late.extend(found)
+                expired.extend(found)
                 kept = (row for row in queue if row.arrival.deadline > now)
-                self._classes[order] = deque(kept)
-        return late
+                self._classes[rank] = deque(kept)
+        return expired
--- a/src/sablemount/core/waiting.py
+++ b/src/sablemount/core/waiting.py
@@ -1,4 +1,4 @@
-"""Queues of waiting tasks: by class, and within a class by weighted fair sharing."""
+"""Queue of waiting tasks: by priority level, and within a level by weighted fair queueing."""
 
 import heapq
 from collections import OrderedDict
@@ -11,8 +11,8 @@
 __all__ = ["Group", "WaitQueue", "WaitingTask"]
 
 LEVELS = len(CLASS_ORDER)
-FIRST_MOVE = 0.5
-"""How long a task waits in a shard before it may be moved to another, in seconds."""
+FIRST_MOVE_DELAY_S = 0.5
+"""Time that a task waits in its first shard before it may be moved to another one."""
 
 
 class Group(NamedTuple):
@@ -23,7 +23,13 @@
 
 
 class WaitingTask:
-    """A task that waits for a VM; ``level`` rises with age, ``order`` is its paid class."""
+    """A task that waits for a VM.
+
+    ``priority_rank`` is the rank of the template's priority class, and 0 is the highest. ``level``
+    starts at that rank and falls as the task ages. ``never_started`` is set if the task has
+    certainly not been started. ``spread_move_done`` is set once a move of the task to a shard for
+    its spread preference has been considered.
+    """
 
     __slots__ = (
         "group",
@@ -40,15 +46,15 @@
         "spread_done",
     )
 
-    def __init__(self, row: TaskRow, now: float, new: bool) -> None:
+    def __init__(self, row: TaskRow, now: float, never_started: bool) -> None:
         self.row = row
-        self.new = new
+        self.new = never_started
         self.group = Group(row.template.organisation, row.shard)
         self.since = now
         self.order = CLASS_ORDER[row.template.priority]
         self.level = self.order
         self.level_since = now
-        self.next_move = now + FIRST_MOVE
+        self.next_move = now + FIRST_MOVE_DELAY_S
         self.preempt_at = now
         self.moving = False
         self.reserved = False
@@ -56,22 +62,23 @@
 
     @property
     def organisation(self) -> str:
-        """Return the organisation that pays for the task."""
+        """Return the organisation that the task is charged to."""
         return self.row.template.organisation
 
 
 class WaitQueue:
-    """Waiting tasks; each level serves the organisation that had the least for its weight.
+    """Waiting tasks, by priority level and then by weighted fair queueing of organisations.
 
-    Within a level the tasks of one organisation in one shard form a group, so that a full shard
-    holds up nobody's tasks in the others.
+    Each level serves the organisation that has received the least service for its weight. Within a
+    level the tasks of one organisation in one shard form a group, so that a full shard does not
+    delay tasks in other shards.
     """
 
     def __init__(self) -> None:
         self._items: dict[str, WaitingTask] = {}
         self._levels: list[dict[Group, OrderedDict[str, WaitingTask]]] = [{} for _ in range(LEVELS)]
-        self._served: list[dict[str, float]] = [{} for _ in range(LEVELS)]
-        self._floor = [0.0] * LEVELS
+        self._service_received: list[dict[str, float]] = [{} for _ in range(LEVELS)]
+        self._virtual_time = [0.0] * LEVELS
 
     def __len__(self) -> int:
         return len(self._items)
@@ -80,16 +87,16 @@
         return task in self._items
 
     def get(self, task: str) -> WaitingTask | None:
-        """Return the waiting entry of a task."""
+        """Return the entry of a task, or ``None`` if it does not wait."""
         return self._items.get(task)
 
-    def add(self, row: TaskRow, now: float, new: bool) -> None:
-        """Enter a task, if it is not in; ``new`` tells that it certainly never started."""
+    def add(self, row: TaskRow, now: float, never_started: bool) -> None:
+        """Add a task, unless it waits already."""
         if row.task not in self._items:
-            self._insert(WaitingTask(row, now, new))
+            self._insert(WaitingTask(row, now, never_started))
 
     def rebind(self, tasks: dict[str, TaskRow]) -> None:
-        """Take the rows of another ledger; tasks that it does not have are taken out."""
+        """Replace the rows by those of another ledger, and remove tasks that it does not have."""
         for name in list(self._items):
             row = tasks.get(name)
             item = self.remove(name)
@@ -103,14 +110,14 @@
         groups = self._levels[item.level]
         if item.group not in groups:
             groups[item.group] = OrderedDict()
-            # One that was idle starts level with the others: idleness earns no credit.
-            served = self._served[item.level]
-            floor = self._floor[item.level]
-            served[item.organisation] = max(served.get(item.organisation, 0.0), floor)
+            # An organisation that was idle starts at the virtual time: idleness earns no credit.
+            received = self._service_received[item.level]
+            virtual_time = self._virtual_time[item.level]
+            received[item.organisation] = max(received.get(item.organisation, 0.0), virtual_time)
         groups[item.group][item.row.task] = item
 
     def remove(self, task: str) -> WaitingTask | None:
-        """Take a task out, if it is in."""
+        """Remove a task and return its entry, or ``None`` if it does not wait."""
         item = self._items.pop(task, None)
         if item is not None:
             groups = self._levels[item.level]
@@ -120,39 +127,39 @@
         return item
 
     def charge(self, item: WaitingTask, cost: float, weight: float) -> None:
-        """Book what an organisation was served at a level."""
-        served = self._served[item.level]
-        start = served.get(item.organisation, 0.0)
-        self._floor[item.level] = max(self._floor[item.level], start)
-        served[item.organisation] = start + cost / weight
+        """Add the cost of a task to what its organisation has received at the task's level."""
+        received = self._service_received[item.level]
+        start = received.get(item.organisation, 0.0)
+        self._virtual_time[item.level] = max(self._virtual_time[item.level], start)
+        received[item.organisation] = start + cost / weight
 
     def turns(self, level: int) -> Generator[Group, bool, None]:
-        """Yield the groups of a level, the least served first, while they have tasks.
+        """Yield the groups of a level that have tasks, the one with the least service first.
 
-        The caller sends ``True`` to give the group another turn, ``False`` to pass on.
+        The caller sends ``True`` to have the group yielded again, ``False`` to leave it out.
         """
-        served = self._served[level]
-        heap = [(served.get(group.organisation, 0.0), group) for group in self._levels[level]]
+        received = self._service_received[level]
+        heap = [(received.get(group.organisation, 0.0), group) for group in self._levels[level]]
         heapq.heapify(heap)
         while heap:
             _, group = heapq.heappop(heap)
             again = yield group
             if again and group in self._levels[level]:
-                heapq.heappush(heap, (served.get(group.organisation, 0.0), group))
+                heapq.heappush(heap, (received.get(group.organisation, 0.0), group))
 
     def groups(self, level: int) -> list[Group]:
         """Return the groups that have tasks at a level."""
         return list(self._levels[level])
 
-    def head(self, level: int, group: Group, depth: int) -> list[WaitingTask]:
-        """Return the first ``depth`` tasks of a group at a level."""
+    def head(self, level: int, group: Group, count: int) -> list[WaitingTask]:
+        """Return the first ``count`` tasks of a group at a level."""
         queue = self._levels[level].get(group)
         if queue is None:
             return []
-        return [item for item, _ in zip(queue.values(), range(depth), strict=False)]
+        return [item for item, _ in zip(queue.values(), range(count), strict=False)]
 
     def promote(self, now: float, aging: float) -> None:
-        """Raise by one level the tasks at the head that have waited long at theirs."""
+        """Raise the first task of each group by a level after ``aging`` seconds at its level."""
         for level in range(1, LEVELS):
             for group in list(self._levels[level]):
                 for item in self.head(level, group, 1):
