--- a/src/sablemount/core/index.py
+++ b/src/sablemount/core/index.py
@@ -1,4 +1,4 @@
-"""Indexes over the VM table that make the cost of a placement independent of its size."""
+"""Indexes of VMs by free capacity; a lookup takes a time that is independent of their number."""
 
 import random
 from collections.abc import Iterator
@@ -10,7 +10,7 @@
 
 
 class _Pool:
-    """VMs of one hall, bucketed by free cores; bit ``n`` of ``mask`` tells that bucket is used."""
+    """VMs of one hall in buckets by free cores; bit n of ``mask`` is set if bucket n is used."""
 
     __slots__ = ("buckets", "mask")
 
@@ -30,26 +30,26 @@
     """Usable VMs by hall, accelerators and free cores."""
 
     def __init__(self) -> None:
-        self._plain: dict[str, _Pool] = {}
-        self._accelerated: dict[str, _Pool] = {}
-        self._level: dict[str, int] = {}
+        self._without_accelerators: dict[str, _Pool] = {}
+        self._with_accelerators: dict[str, _Pool] = {}
+        self._indexed_cores: dict[str, int] = {}
 
     def halls(self) -> list[str]:
-        """Return the halls that have had usable VMs."""
-        return list({**self._plain, **self._accelerated})
+        """Return the halls that have or had usable VMs."""
+        return list({**self._without_accelerators, **self._with_accelerators})
 
     def put(self, row: VmRow) -> None:
-        """Enter a VM, or bring its place up to date."""
-        level = self._level.get(row.vm)
-        if level == row.free_cores and row.bucket is not None:
+        """Add a VM, or move it to the bucket of its current free cores."""
+        indexed_cores = self._indexed_cores.get(row.vm)
+        if indexed_cores == row.free_cores and row.bucket is not None:
             return
         self.remove(row)
-        pools = self._accelerated if row.accelerators else self._plain
+        pools = self._with_accelerators if row.accelerators else self._without_accelerators
         pools.setdefault(row.hall, _Pool()).add(row)
-        self._level[row.vm] = row.free_cores
+        self._indexed_cores[row.vm] = row.free_cores
 
     def remove(self, row: VmRow) -> None:
-        """Take a VM out, if it is in."""
+        """Remove a VM, if it is in the index."""
         bucket = row.bucket
         if bucket is None:
             return
@@ -58,30 +58,34 @@
             bucket[row.place] = last
             last.place = row.place
         row.bucket = None
-        level = self._level.pop(row.vm)
+        indexed_cores = self._indexed_cores.pop(row.vm)
         if not bucket:
-            pools = self._accelerated if row.accelerators else self._plain
-            pools[row.hall].mask &= ~(1 << level)
+            pools = self._with_accelerators if row.accelerators else self._without_accelerators
+            pools[row.hall].mask &= ~(1 << indexed_cores)
 
     def candidates(
         self, shape: Shape, halls: list[str], limit: int, rng: random.Random
     ) -> list[VmRow]:
-        """Return up to ``limit`` VMs with room, the fullest first, hall by hall.
+        """Return VMs that can fit a shape, hall by hall and the fullest first.
 
-        VMs with accelerators are offered to other work only when no plain VM has room.
+        The search ends after the first hall with which ``limit`` VMs have been found.
+
+        A shape without accelerators gets VMs with accelerators only if no other VM can fit it.
         """
         found: list[VmRow] = []
         if not shape.accelerators:
-            self._collect(self._plain, shape, halls, limit, rng, found)
+            self._collect(self._without_accelerators, shape, halls, limit, rng, found)
         if not found:
-            self._collect(self._accelerated, shape, halls, limit, rng, found)
+            self._collect(self._with_accelerators, shape, halls, limit, rng, found)
         return found
 
     def emptiest(self, shape: Shape, halls: list[str], limit: int) -> list[VmRow]:
-        """Return up to ``limit`` VMs with room, the emptiest first, hall by hall."""
+        """Return VMs that can fit a shape, up to ``limit`` of each hall's emptiest bucket."""
         found: list[VmRow] = []
         for pools in (
-            (self._accelerated,) if shape.accelerators else (self._plain, self._accelerated)
+            (self._with_accelerators,)
+            if shape.accelerators
+            else (self._without_accelerators, self._with_accelerators)
         ):
             for hall in halls:
                 pool = pools.get(hall)
@@ -100,39 +104,39 @@
         rng: random.Random,
         found: list[VmRow],
     ) -> None:
-        share = max(2, limit // max(1, len(halls)))
+        hall_limit = max(2, limit // max(1, len(halls)))
         for hall in halls:
             pool = pools.get(hall)
             if pool is not None:
-                self._collect_hall(pool, shape, share, rng, found)
+                self._collect_hall(pool, shape, hall_limit, rng, found)
             if len(found) >= limit:
                 return
 
     def _collect_hall(
-        self, pool: _Pool, shape: Shape, share: int, rng: random.Random, found: list[VmRow]
+        self, pool: _Pool, shape: Shape, limit: int, rng: random.Random, found: list[VmRow]
     ) -> None:
         mask = pool.mask >> shape.cores << shape.cores
-        wanted = len(found) + share
-        looked = 0
-        while mask and len(found) < wanted and looked < 4 * share:
+        wanted = len(found) + limit
+        examined = 0
+        while mask and len(found) < wanted and examined < 4 * limit:
             lowest = mask & -mask
             mask ^= lowest
             bucket = pool.buckets[lowest.bit_length() - 1]
-            for row in _sample(bucket, share, rng):
-                looked += 1
+            for row in _sample(bucket, limit, rng):
+                examined += 1
                 if row.has_room(shape):
                     found.append(row)
 
 
 def _sample(bucket: list[VmRow], count: int, rng: random.Random) -> Iterator[VmRow]:
-    """Yield up to ``count`` neighbours from a random place of a bucket."""
+    """Yield up to ``count`` neighbouring rows from a random position of a bucket on."""
     size = len(bucket)
     if size <= count:
         yield from bucket
         return
     start = int(rng.random() * size)
-    for step in range(count):
-        yield bucket[(start + step) % size]
+    for offset in range(count):
+        yield bucket[(start + offset) % size]
 
 
 class SlotIndex:
@@ -145,24 +149,24 @@
         return len(self._rows)
 
     def put(self, row: VmRow) -> None:
-        """Enter a VM, if it is not in."""
+        """Add a VM, unless it is in the index."""
         if row.slot_place < 0:
             row.slot_place = len(self._rows)
             self._rows.append(row)
 
     def remove(self, row: VmRow) -> None:
-        """Take a VM out, if it is in."""
-        place = row.slot_place
-        if place < 0:
+        """Remove a VM, if it is in the index."""
+        position = row.slot_place
+        if position < 0:
             return
         last = self._rows.pop()
         if last is not row:
-            self._rows[place] = last
-            last.slot_place = place
+            self._rows[position] = last
+            last.slot_place = position
         row.slot_place = -1
 
     def choose(self, shape: Shape, rng: random.Random, tries: int) -> VmRow | None:
-        """Return the VM with the most free slots of a few random ones that have room."""
+        """Return the VM with the most free slots of ``tries`` random ones that can fit a shape."""
         best: VmRow | None = None
         rows = self._rows
         size = len(rows)
--- a/src/sablemount/core/meter.py
+++ b/src/sablemount/core/meter.py
@@ -1,4 +1,4 @@
-"""Counters and observations of the core.
+"""Metrics of the core.
 
 The base class keeps counters only; the daemon extends it to publish them.
 """
@@ -9,7 +9,7 @@
 
 
 class Meter:
-    """Counts what the core does, by name and label."""
+    """Counters by name and label."""
 
     def __init__(self) -> None:
         self.counters: Counter[tuple[str, str]] = Counter()
@@ -19,13 +19,13 @@
         self.counters[name, label] += amount
 
     def waited(self, template: str, priority: str, seconds: float, within: bool) -> None:
-        """Take the time from request to start, and whether it met its objective (seconds)."""
+        """Record the seconds from a request to its start, and whether they met the objective."""
         self.counters["starts", template] += 1
         if within:
             self.counters["starts_within_objective", template] += 1
 
     def failed(self, template: str, reason: str) -> None:
-        """Take one request that got no answer, with the class of its failure."""
+        """Record one request that failed, with the reason of its failure."""
         self.counters["failures", f"{template}:{reason}"] += 1
 
     def total(self, name: str) -> int:
