--- a/src/sablemount/core/ledger.py
+++ b/src/sablemount/core/ledger.py
@@ -1,7 +1,8 @@
-"""The ledger: what the log says, folded in offset order.
+"""The ledger: replicated state, computed by applying the entries of the log in offset order.
 
-Every scheduler folds the same entries by the same rules and so holds the same ledger at the same
-offset. Nothing here reads a clock: ages are judged by the time that the log stamps on an entry.
+Every scheduler applies the same entries by the same rules, and so has the same ledger at the same
+offset. Nothing here reads a clock: ages are computed from the times that the log service gives to
+its entries.
 """
 
 import zlib
@@ -19,17 +20,23 @@
 __all__ = ["Ledger"]
 
 KEY_HORIZON = 86_400.0
-"""How long a key is remembered and how old it may be when it is spent, in seconds."""
+"""Time for which a spent key is remembered, and maximum age of a key when it is spent."""
 KEY_SKEW = 300.0
-"""How far a caller's clock may be from the log's, in seconds."""
+"""Maximum difference between a caller's clock and the log's."""
 FINISHED_HORIZON = 86_400.0
-"""How long the outcome of a task can be read, in seconds."""
+"""Time for which the outcome of a finished task can be read."""
 
 OK = ""
 
 
 class Ledger:
-    """Tables folded from the log."""
+    """Tables computed from the log.
+
+    ``sequences`` has the last batch number of each member, ``read_offsets`` the last offset that
+    each writer is known to have read, and ``incarnations`` the highest incarnation of each name
+    that has joined. ``snapshot_offset`` is the offset of the newest snapshot whose last part has
+    been read. ``finished`` has the tasks with a recorded outcome and its times, the oldest first.
+    """
 
     def __init__(self, shard_count: int) -> None:
         self.shard_count = shard_count
@@ -45,7 +52,7 @@
         self.shards = [ShardRow(shard=index) for index in range(shard_count)]
         self.documents: dict[str, DocumentRow] = {}
         self.tasks: dict[str, TaskRow] = {}
-        # Dictionaries serve as ordered sets: every run of a test takes the same order.
+        # Dictionaries serve as ordered sets, so that the order is the same in every run of a test.
         self.open_tasks: list[dict[str, None]] = [{} for _ in range(shard_count)]
         self.drained: dict[str, bool] = {}
         self.vms: list[dict[str, VmFacts]] = [{} for _ in range(shard_count)]
@@ -54,34 +61,34 @@
         self.finished: deque[tuple[float, str]] = deque()
         self._writer = Writer("", 0)
 
-    # -- Reading the log ---------------------------------------------------------------------
+    # -- Entries -----------------------------------------------------------------------------
 
     def apply(self, entry: LogEntry) -> list[Applied]:
-        """Fold one entry and return what became of its records."""
+        """Apply one entry and return the result for each of its records."""
         if entry.offset <= self.offset:
             return []
         self.offset = entry.offset
         self.log_time = max(self.log_time, entry.time)
         batch = records.decode_batch(entry.payload)
         applied = [] if batch is None else self._apply_batch(entry.offset, batch)
-        self._forget()
+        self._expire()
         return applied
 
     def _apply_batch(self, offset: int, batch: Batch) -> list[Applied]:
-        if self._stale(batch):
+        if self._is_superseded(batch):
             return []
         self._writer = batch.writer
         applied = []
         for record in batch.records:
             error = self._apply_record(record.body)
             applied.append(Applied(offset, batch.writer, record, error))
-        # A late batch of a former incarnation must not move the present one's sequence.
+        # A late batch of a previous incarnation must not advance the sequence of the current one.
         if self.members.get(batch.writer.name) == batch.writer:
             self.sequences[batch.writer.name] = batch.sequence
             self.seen[str(batch.writer)] = batch.seen
         return applied
 
-    def _stale(self, batch: Batch) -> bool:
+    def _is_superseded(self, batch: Batch) -> bool:
         if self.members.get(batch.writer.name) != batch.writer:
             return False
         return batch.sequence <= self.sequences.get(batch.writer.name, 0)
@@ -91,17 +98,17 @@
             return self._join(body)
         if self.members.get(self._writer.name) != self._writer:
             return "the writer is not a member"
-        return self._fold(body)
+        return self._apply_as_member(body)
 
-    def _forget(self) -> None:
-        oldest_key = self.log_time - KEY_HORIZON - 2 * KEY_SKEW
+    def _expire(self) -> None:
+        oldest_spent = self.log_time - KEY_HORIZON - 2 * KEY_SKEW
         while self.keys:
             key = next(iter(self.keys))
-            if self.keys[key] >= oldest_key:
+            if self.keys[key] >= oldest_spent:
                 break
             del self.keys[key]
-        oldest_task = self.log_time - FINISHED_HORIZON
-        while self.finished and self.finished[0][0] < oldest_task:
+        oldest_finished = self.log_time - FINISHED_HORIZON
+        while self.finished and self.finished[0][0] < oldest_finished:
             _, task = self.finished.popleft()
             self.tasks.pop(task, None)
 
@@ -109,7 +116,7 @@
 
     def _join(self, body: records.Join) -> str:
         # An incarnation joins once: a Join that takes effect late must not bring back a member
-        # that has left or was put out.
+        # that has left or was evicted.
         name = self._writer.name
         if self.incarnations.get(name, 0) >= self._writer.incarnation:
             return "this or a later incarnation has joined before"
@@ -118,16 +125,16 @@
         self.halls[name] = body.hall
         self.joined_at[name] = self.offset
         self.sequences[name] = 0
-        self._forget_writers()
+        self._expire_read_offsets()
         return OK
 
-    def _forget_writers(self) -> None:
+    def _expire_read_offsets(self) -> None:
         known = {str(member) for member in self.members.values()}
         known.update(str(shard.owner) for shard in self.shards)
         self.seen = {writer: seen for writer, seen in self.seen.items() if writer in known}
 
     def knows(self, owner: Writer, member: Writer) -> bool:
-        """Tell whether the log shows that an owner has read a member's Join."""
+        """Return whether the log shows that an owner has read a member's Join."""
         if self.members.get(member.name) != member:
             return False
         return self.seen.get(str(owner), 0) >= self.joined_at[member.name]
@@ -140,24 +147,24 @@
         return OK
 
     @singledispatchmethod
-    def _fold(self, body: object) -> str:
+    def _apply_as_member(self, body: object) -> str:
         return f"unknown record {type(body).__name__}"
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Leave) -> str:
         return self._remove(self._writer)
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Seen) -> str:
         return OK
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Evict) -> str:
         return self._remove(body.member)
 
     # -- Shards ------------------------------------------------------------------------------
 
-    def _owned(self, shard: int, epoch: int) -> str:
+    def _ownership_error(self, shard: int, epoch: int) -> str:
         if not 0 <= shard < self.shard_count:
             return "no such shard"
         row = self.shards[shard]
@@ -165,7 +172,7 @@
             return f"shard {shard} is at epoch {row.epoch}, owned by {row.owner}"
         return OK
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Claim) -> str:
         if not 0 <= body.shard < self.shard_count:
             return "no such shard"
@@ -176,9 +183,9 @@
         self.shards[body.shard] = ShardRow(body.shard, self._writer, row.epoch + 1, planned)
         return OK
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Release) -> str:
-        error = self._owned(body.shard, body.epoch)
+        error = self._ownership_error(body.shard, body.epoch)
         if error:
             return error
         if body.to is not None and self.members.get(body.to.name) != body.to:
@@ -188,7 +195,7 @@
 
     # -- Documents ---------------------------------------------------------------------------
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Publish) -> str:
         current = self.documents.get(body.key)
         revision = current.revision if current else 0
@@ -199,10 +206,10 @@
         if isinstance(body.document, OrganisationDocument):
             self.shares.revise(body.key, body.document.quota)
         elif body.document.kind is Kind.SERVICE:
-            self._scale(body.key, row)
+            self._update_replicas(body.key, row)
         return OK
 
-    def _scale(self, key: str, row: DocumentRow) -> None:
+    def _update_replicas(self, key: str, row: DocumentRow) -> None:
         assert isinstance(row.document, TemplateDocument)
         first_shard = zlib.crc32(key.encode()) % self.shard_count
         for position in range(row.document.replicas):
@@ -224,7 +231,7 @@
         self.tasks[row.task] = row
         self.open_tasks[shard][row.task] = None
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Accept) -> str:
         current = self.documents.get(body.template)
         if current is None or not isinstance(current.document, TemplateDocument):
@@ -247,7 +254,7 @@
         return [task_name(body.job, position, body.total) for position in positions]
 
     def replicas_of(self, key: str) -> list[TaskRow]:
-        """Return the replicas of a service template."""
+        """Return the replicas of a service template, in order of their positions."""
         row = self.documents.get(key)
         if row is None or not isinstance(row.document, TemplateDocument):
             return []
@@ -258,28 +265,28 @@
             found.append(task)
         return found
 
-    def _open(self, task: str) -> TaskRow | None:
+    def _open_task(self, task: str) -> TaskRow | None:
         row = self.tasks.get(task)
         return None if row is None or row.finished else row
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Intent) -> str:
-        row = self._open(body.task)
+        row = self._open_task(body.task)
         if row is None:
             return "no such open task"
         if row.intent or row.cancelled:
             return "the task was announced or cancelled before"
-        error = self._owned(row.shard, body.epoch)
+        error = self._ownership_error(row.shard, body.epoch)
         if not error:
             row.intent = body.epoch
         return error
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Finish) -> str:
-        row = self._open(body.task)
+        row = self._open_task(body.task)
         if row is None:
             return "no such open task"
-        error = self._owned(row.shard, body.epoch)
+        error = self._ownership_error(row.shard, body.epoch)
         if error:
             return error
         row.verdict = body.verdict.value
@@ -288,15 +295,15 @@
         self.finished.append((self.log_time, row.task))
         return OK
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Cancel) -> str:
-        row = self._open(body.task)
+        row = self._open_task(body.task)
         if row is None:
             return "no such open task"
         row.cancelled = True
         return OK
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Drain) -> str:
         if body.drain:
             self.drained[body.vm] = True
@@ -304,12 +311,12 @@
             self.drained.pop(body.vm, None)
         return OK
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Move) -> str:
-        row = self._open(body.task)
+        row = self._open_task(body.task)
         if row is None or not 0 <= body.to < self.shard_count:
             return "no such open task or shard"
-        error = self._owned(row.shard, body.epoch)
+        error = self._ownership_error(row.shard, body.epoch)
         if error:
             return error
         self.open_tasks[row.shard].pop(row.task, None)
@@ -319,25 +326,25 @@
 
     # -- VMs ---------------------------------------------------------------------------------
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Enroll) -> str:
-        error = self._owned(body.shard, body.epoch)
+        error = self._ownership_error(body.shard, body.epoch)
         if not error:
             self.vms[body.shard][body.facts.vm] = body.facts
         return error
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.Dismiss) -> str:
-        error = self._owned(body.shard, body.epoch)
+        error = self._ownership_error(body.shard, body.epoch)
         if not error:
             self.vms[body.shard].pop(body.vm, None)
         return error
 
     # -- Quotas and keys ---------------------------------------------------------------------
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.QuotaMove) -> str:
-        error = self._owned(body.shard, body.epoch)
+        error = self._ownership_error(body.shard, body.epoch)
         if error:
             return error
         if not 0 <= body.to < self.shard_count:
@@ -346,7 +353,7 @@
             body.organisation, body.shard, body.to, body.cores, body.accelerators
         )
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.SpendKey) -> str:
         if body.key in self.keys:
             return "the key is spent"
@@ -357,7 +364,7 @@
         self.keys[body.key] = self.log_time
         return OK
 
-    @_fold.register
+    @_apply_as_member.register
     def _(self, body: records.SnapshotPart) -> str:
         if body.index == body.total - 1:
             self.snapshot_upto = max(self.snapshot_upto, body.upto)
