--- a/src/sablemount/core/__init__.py
+++ b/src/sablemount/core/__init__.py
@@ -1,1 +1,1 @@
-"""Pure scheduling core: no I/O, no clock and no global random numbers."""
+"""Scheduling core, deterministic: no I/O, no clock and no global random numbers."""
--- a/src/sablemount/core/actions.py
+++ b/src/sablemount/core/actions.py
@@ -1,7 +1,8 @@
-"""Actions that the core gives; the runtime carries each out and reports back by an event.
+"""Actions that the core returns; the runtime performs them and reports the results as events.
 
-A command to a worker carries ``not_after`` in local monotonic seconds: the last moment at which
-its bytes may be handed to the network. The runtime checks it again just before it writes.
+Actions that send something to a worker have ``not_after``, in local monotonic seconds: the latest
+time at which the first byte may be written to the network. The runtime checks it again just before
+it writes.
 """
 
 import enum
@@ -36,13 +37,13 @@
 
 
 class ReadLog(_Action, frozen=True):
-    """Read the log from after an offset."""
+    """Read the entries of the log after an offset."""
 
     after: int
 
 
 class AppendLog(_Action, frozen=True):
-    """Append one batch."""
+    """Append one encoded batch to the log."""
 
     sequence: int
     payload: bytes
@@ -51,7 +52,8 @@
 class StartRun(_Action, frozen=True):
     """Start a run on a VM under a lease of ``lease`` seconds.
 
-    ``seconds`` is how long the run is expected to take; 0 for one that does not end by itself.
+    ``seconds`` is the expected duration of the run, or 0 for a service, which does not end by
+    itself.
     """
 
     vm: str
@@ -66,7 +68,7 @@
 
 
 class CommandKind(enum.StrEnum):
-    """What a worker is told to do with a run."""
+    """Kind of a command to a worker about a run."""
 
     STOP = "stop"
     CHECKPOINT = "checkpoint"
@@ -75,14 +77,14 @@
 
 
 class RunCommand(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One command about one run."""
+    """A command to a worker about one run."""
 
     run: str
     kind: CommandKind
 
 
 class Poll(_Action, frozen=True):
-    """Renew leases, acknowledge ended runs, give commands and ask what the worker runs."""
+    """Renew leases, acknowledge ended runs, send commands and ask which runs the worker has."""
 
     vm: str
     renew: tuple[str, ...]
@@ -105,35 +107,35 @@
 
 
 class Forward(_Action, frozen=True):
-    """Send a request to the peer that is likely to have room."""
+    """Forward a request to a peer that is likely to have a free slot."""
 
     peer: str
     arrival: RequestArrived
 
 
 class SendPeer(_Action, frozen=True):
-    """Send a message to a peer once."""
+    """Send a message to a peer, without retries."""
 
     peer: str
     message: PeerMessage
 
 
 class AnswerRequest(_Action, frozen=True):
-    """Give a caller its answer."""
+    """Answer a caller's request."""
 
     request: str
     result: ServeResult
 
 
 class AnswerCommand(_Action, frozen=True):
-    """Answer a submission, a cancellation or a publication; ``failure`` is ``None`` for success."""
+    """Answer the operation that came with ``token``; ``failure`` is ``None`` for success."""
 
     token: str
     failure: Failure | None
 
 
 class Stopped(_Action, frozen=True):
-    """Nothing is held or in flight any more; the process may end."""
+    """Report that no shard is held and nothing is in flight: the process may exit."""
 
 
 Action: TypeAlias = (
--- a/src/sablemount/core/events.py
+++ b/src/sablemount/core/events.py
@@ -1,4 +1,4 @@
-"""Events that the core takes; each is handled at a local monotonic time in seconds."""
+"""Events that the core handles, each at a local monotonic time in seconds."""
 
 import enum
 from typing import Any, TypeAlias
@@ -41,13 +41,13 @@
 
 
 class Tick(_Event, frozen=True):
-    """Time has passed."""
+    """Periodic event, on which all systems run."""
 
 
 class LogRead(_Event, frozen=True):
-    """A read of the log, sent at ``sent_at``; ``head`` is the log's last offset at the read.
+    """A read of the log, sent at ``sent_at``, has returned.
 
-    ``first`` is the oldest retained offset.
+    ``first`` and ``head`` are the oldest and the newest offset of the log at the time of the read.
     """
 
     sent_at: float
@@ -57,11 +57,11 @@
 
 
 class LogReadFailed(_Event, frozen=True):
-    """A read of the log brought no answer."""
+    """A read of the log has failed or timed out."""
 
 
 class AppendStatus(enum.StrEnum):
-    """What is known of an append."""
+    """Outcome of an append; ``UNKNOWN`` if it may have taken effect or may still do so."""
 
     WRITTEN = "written"
     REFUSED = "refused"
@@ -69,20 +69,20 @@
 
 
 class AppendEnded(_Event, frozen=True):
-    """An append has ended, or was given up."""
+    """An append has ended or timed out."""
 
     sequence: int
     status: AppendStatus
 
 
 class VmListRead(_Event, frozen=True):
-    """The platform's VM list, which lags behind reality."""
+    """The platform's VM list was read; it may be out of date."""
 
     vms: tuple[VmFacts, ...]
 
 
 class StartStatus(enum.StrEnum):
-    """What is known of a start command."""
+    """Outcome of a start request; ``UNKNOWN`` if the run may have started."""
 
     STARTED = "started"
     REFUSED = "refused"
@@ -91,14 +91,14 @@
 
 
 class StartEnded(_Event, frozen=True):
-    """A start command has ended."""
+    """A start request has ended or timed out."""
 
     run: str
     status: StartStatus
 
 
 class RunState(enum.StrEnum):
-    """State of a run as its worker tells it."""
+    """State of a run as reported by its worker."""
 
     RUNNING = "running"
     THROTTLED = "throttled"
@@ -110,7 +110,7 @@
 
 
 class RunReport(_Event, frozen=True):
-    """One run on a worker; ``shape`` is what it holds now."""
+    """A worker's report of one run; ``shape`` is what the run holds now."""
 
     run: str
     state: RunState
@@ -118,7 +118,11 @@
 
 
 class PollEnded(_Event, frozen=True):
-    """A worker's answer to a poll sent at ``sent_at``, or none (``boot`` is empty)."""
+    """A poll sent at ``sent_at`` has ended; ``boot`` is empty if the worker did not answer.
+
+    ``boot`` identifies the incarnation of the worker, and ``requests`` has the requests that it
+    holds slots for.
+    """
 
     vm: str
     sent_at: float
@@ -129,7 +133,7 @@
 
 
 class RequestArrived(_Event, frozen=True):
-    """A caller's request; ``deadline`` is local monotonic time."""
+    """A request has arrived from a caller or a peer; ``deadline`` is local monotonic time."""
 
     request: str
     template: str
@@ -140,9 +144,9 @@
 
 
 class RequestEnded(_Event, frozen=True):
-    """An attempt at a request has ended; ``failure`` is ``None`` for a whole answer.
+    """An attempt at a request has ended; ``failure`` is ``None`` for a complete answer.
 
-    ``free`` tells that the worker holds nothing for the request any more.
+    ``slot_released`` means that the worker holds no slot for the request any more.
     """
 
     request: str
@@ -154,13 +158,13 @@
 
 
 class RequestWithdrawn(_Event, frozen=True):
-    """The caller has gone."""
+    """The caller no longer waits for the answer to a request."""
 
     request: str
 
 
 class JobSubmitted(_Event, frozen=True):
-    """A job of ``count`` tasks is submitted under the caller's token."""
+    """A caller submits a job of ``count`` tasks; the answer refers to ``token``."""
 
     token: str
     job: str
@@ -171,7 +175,7 @@
 
 
 class CancelRequested(_Event, frozen=True):
-    """Somebody asks to cancel a task."""
+    """A caller asks to cancel a task."""
 
     token: str
     task: str
@@ -179,7 +183,7 @@
 
 
 class PublishRequested(_Event, frozen=True):
-    """An operator publishes a document against an expected revision."""
+    """An operator publishes a document, if its current revision is the expected one."""
 
     token: str
     document: Document
@@ -189,7 +193,7 @@
 
 
 class DrainRequested(_Event, frozen=True):
-    """An operator drains a VM, or takes it back into use."""
+    """An operator drains a VM, or returns it to use."""
 
     token: str
     vm: str
@@ -202,7 +206,7 @@
 
 
 class PeerReceived(_Event, frozen=True):
-    """A message from another scheduler."""
+    """A message has arrived from another scheduler."""
 
     message: PeerMessage
 
