--- a/src/sablemount/core/config.py
+++ b/src/sablemount/core/config.py
@@ -1,4 +1,4 @@
-"""Limits and periods of the core; all times are in seconds."""
+"""Limits and time intervals of the core; all times are in seconds."""
 
 from typing import Annotated
 
@@ -13,17 +13,22 @@
 
 
 class Weights(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a placement weighs: 1 is packing alone, 0 is waiting alone."""
+    """How a placement selects among VMs.
+
+    ``packing`` weighs the share of a VM that stays free against the imbalance of its free cores and
+    memory: 1 counts only the former, 0 only the latter. ``candidates`` is the number of VMs that
+    are compared.
+    """
 
     packing: Share = 0.5
     candidates: Annotated[int, Meta(ge=1, le=256)] = 12
 
 
 class CoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits and periods of one scheduler.
+    """Limits and time intervals of one scheduler.
 
-    ``append_budget`` is the number of appends a second that all members together may use. The least
-    of the users' stores takes 600 writing calls a second, so that some are left for others.
+    ``append_budget`` is the maximum number of appends a second of all members together. The
+    smallest store in use accepts 600 writing calls a second, so some are left for other clients.
     """
 
     shards: Count = 12
--- a/src/sablemount/core/documents.py
+++ b/src/sablemount/core/documents.py
@@ -1,6 +1,6 @@
 """Documents that operators publish: templates and organisation limits.
 
-A document is immutable. Its revision is kept beside it by the ledger, never inside it.
+A document is immutable. Its revision is kept by the ledger and is not part of the document.
 """
 
 import enum
@@ -40,7 +40,7 @@
 
 
 class PriorityClass(enum.StrEnum):
-    """Priority classes, from the best paid to the least paid."""
+    """Priority classes, from the highest to the lowest."""
 
     URGENT = "urgent"
     STANDARD = "standard"
@@ -49,11 +49,11 @@
 
 
 CLASS_ORDER: dict[PriorityClass, int] = {name: rank for rank, name in enumerate(PriorityClass)}
-"""Rank of each class; 0 is served first."""
+"""Rank of each priority class; 0 is the highest."""
 
 
 class Kind(enum.StrEnum):
-    """What a template describes."""
+    """Kind of work that a template describes."""
 
     REQUEST = "request"
     TASK = "task"
@@ -69,7 +69,7 @@
     slots: Annotated[int, Meta(ge=0, le=MAX_SLOTS)] = 0
 
     def fits(self, other: "Shape") -> bool:
-        """Tell whether this shape fits within the other."""
+        """Return whether this shape fits within another one."""
         return (
             self.cores <= other.cores
             and self.memory_mb <= other.memory_mb
@@ -87,12 +87,16 @@
         )
 
     def throttled(self) -> "Shape":
-        """Return what a throttled task keeps: half the cores, all the rest."""
+        """Return the shape of a throttled run: half the cores and everything else unchanged."""
         return Shape(max(1, self.cores // 2), self.memory_mb, self.accelerators, self.slots)
 
 
 class Preferences(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where an organisation would like its work to run."""
+    """Where work is to run.
+
+    Data halls are preferred, or with ``required`` the only ones allowed. ``spread`` distributes the
+    tasks of a job over data halls and racks.
+    """
 
     halls: tuple[str, ...] = ()
     required: bool = False
@@ -100,14 +104,14 @@
 
 
 class Objective(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Service-level objective: a share of the work starts within a time (seconds)."""
+    """Service-level objective: the fraction ``target`` of the work starts ``within`` seconds."""
 
     target: Annotated[float, Meta(gt=0, lt=1)] = 0.99
     within: Annotated[float, Meta(gt=0)] = 1.0
 
 
 class Quota(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Hard limits on what an organisation's tasks hold at once; ``None`` is no limit."""
+    """Hard limits on what an organisation's tasks hold at a time; ``None`` means no limit."""
 
     cores: Annotated[int, Meta(ge=0)] | None = None
     accelerators: Annotated[int, Meta(ge=0)] | None = None
@@ -116,7 +120,7 @@
 class TemplateDocument(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag="template", tag_field="type"
 ):
-    """One kind of work of one organisation."""
+    """Template for the requests, tasks or replicas of one kind of work of an organisation."""
 
     organisation: Name
     name: Name
@@ -155,7 +159,7 @@
 
 
 def check_document(document: Document) -> str:
-    """Return the path and reason of what a well-formed document gets wrong, or ``""``."""
+    """Return the path and the reason of an error in a well-formed document, or ``""``."""
     if not isinstance(document, TemplateDocument):
         return ""
     if document.kind is Kind.REQUEST and document.shape != Shape(slots=1):
@@ -172,7 +176,7 @@
 def bind_parameters(
     template: TemplateDocument, given: dict[str, Scalar]
 ) -> Result[dict[str, Scalar], str]:
-    """Return the template's parameters with the given ones over them, or what is wrong."""
+    """Return the template's parameters updated with the given ones, or an error message."""
     bound = dict(template.parameters)
     for name, value in given.items():
         if name not in bound:
--- a/src/sablemount/core/facts.py
+++ b/src/sablemount/core/facts.py
@@ -1,4 +1,4 @@
-"""What the platform's VM list says of a VM."""
+"""Entries of the platform's VM list."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class VmFacts(msgspec.Struct, frozen=True, gc=False):
-    """One line of the VM list."""
+    """One VM in the VM list; ``leaving`` means that the platform is about to remove it."""
 
     vm: str
     address: str
--- a/src/sablemount/core/verdict.py
+++ b/src/sablemount/core/verdict.py
@@ -1,7 +1,7 @@
-"""Verdicts: what a caller may conclude about its own request.
+"""Verdicts, from which a caller learns whether its request may have run.
 
-The rule behind every value: ``NOT_RUN`` is a promise that nothing ran, and is given only when no
-byte reached a worker or when the worker refused by its protocol.
+``NOT_RUN`` guarantees that nothing ran. It is returned only if no byte reached a worker, or if the
+worker refused the request by its protocol.
 """
 
 import enum
@@ -14,7 +14,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """Whether a request may have run."""
+    """Whether a request or task ran, did not run, or may have run."""
 
     DONE = "DONE"
     NOT_RUN = "NOT_RUN"
@@ -22,7 +22,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a request failed; the label of the failure counters."""
+    """Reason of a failure, which also labels the failure counters."""
 
     BAD_REQUEST = "bad_request"
     UNKNOWN_TEMPLATE = "unknown_template"
@@ -47,9 +47,9 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """A request that has no answer, and what is known of it.
+    """Result of a request that failed.
 
-    ``retry_after`` is in seconds; ``None`` means that trying again will not help.
+    ``retry_after`` is in seconds; ``None`` means that a retry will not help.
     """
 
     verdict: Verdict
@@ -59,7 +59,7 @@
 
 
 class Served(msgspec.Struct, frozen=True):
-    """A whole answer from an upstream."""
+    """A complete answer from an upstream."""
 
     body: bytes
     upstream: str
