--- a/src/sablemount/core/image.py
+++ b/src/sablemount/core/image.py
@@ -1,4 +1,4 @@
-"""Images of the ledger, as snapshots carry them."""
+"""Images of the ledger, which are written as snapshots and sent to peers."""
 
 import zlib
 
@@ -23,11 +23,11 @@
 ]
 
 PART_BYTES = 256 * 1024
-"""Payload of one snapshot part; several fit one append of the platform's log."""
+"""Maximum payload of one snapshot part; several parts fit into one append to the log."""
 
 
 class ShardImage(msgspec.Struct, frozen=True, array_like=True):
-    """Ownership of one shard; ``planned`` tells that its last owner gave it up by itself."""
+    """Ownership of one shard; ``planned`` means that the previous owner, if any, released it."""
 
     shard: int
     owner: Writer | None = None
@@ -36,7 +36,7 @@
 
 
 class MemberImage(msgspec.Struct, frozen=True, array_like=True):
-    """One member and the last batch sequence that was seen of it."""
+    """One member and the sequence number of its last batch."""
 
     writer: Writer
     hall: str
@@ -45,7 +45,7 @@
 
 
 class DocumentImage(msgspec.Struct, frozen=True, array_like=True):
-    """One document in force."""
+    """The current revision of one document."""
 
     key: str
     document: Document
@@ -55,7 +55,7 @@
 
 
 class TaskImage(msgspec.Struct, frozen=True, array_like=True):
-    """One task."""
+    """One task; ``intent`` is the epoch in which its start was announced, or 0."""
 
     task: str
     job: str
@@ -72,14 +72,14 @@
 
 
 class KeyImage(msgspec.Struct, frozen=True, array_like=True):
-    """One spent key and when it was spent, by the log's clock in seconds."""
+    """One spent key and the time at which it was spent, in seconds of the log's clock."""
 
     key: str
     spent: float
 
 
 class ShareImage(msgspec.Struct, frozen=True, array_like=True):
-    """One organisation's quota, divided over the shards; ``None`` is no limit."""
+    """Shares of one organisation's quota, by shard; ``None`` means no limit."""
 
     organisation: str
     cores: list[int] | None
@@ -87,7 +87,7 @@
 
 
 class LedgerImage(msgspec.Struct, frozen=True, array_like=True):
-    """The whole ledger at one offset."""
+    """The complete ledger at one offset."""
 
     offset: int
     log_time: float
@@ -119,7 +119,7 @@
 
 
 def split_image(image: LedgerImage) -> list[SnapshotPart]:
-    """Cut an image into numbered parts."""
+    """Split an image into numbered snapshot parts."""
     payload = pack_image(image)
     starts = range(0, len(payload), PART_BYTES)
     return [
@@ -129,13 +129,13 @@
 
 
 class SnapshotAssembler:
-    """Collects snapshot parts; a snapshot counts only when all of its parts are there."""
+    """Assembles snapshots from their parts; an incomplete snapshot is not used."""
 
     def __init__(self) -> None:
         self._parts: dict[tuple[str, int], dict[int, bytes]] = {}
 
     def add(self, writer: Writer, part: SnapshotPart) -> LedgerImage | None:
-        """Take one part and return the image that it completes."""
+        """Add one part; return the image if the part completes it, ``None`` otherwise."""
         key = (str(writer), part.upto)
         parts = self._parts.setdefault(key, {})
         parts[part.index] = part.payload
--- a/src/sablemount/core/ledger_image.py
+++ b/src/sablemount/core/ledger_image.py
@@ -1,4 +1,4 @@
-"""Taking an image of a ledger, and restoring a ledger from one."""
+"""Conversion between ledgers and their images."""
 
 from collections import deque
 
@@ -17,7 +17,7 @@
 
 
 def image_of(ledger: Ledger) -> LedgerImage:
-    """Return an immutable image of the whole state."""
+    """Return an immutable image of the complete ledger."""
     return LedgerImage(
         offset=ledger.offset,
         log_time=ledger.log_time,
@@ -45,7 +45,7 @@
 
 
 def ledger_of(image: LedgerImage) -> Ledger:
-    """Return the ledger that an image was taken of."""
+    """Restore a ledger from an image."""
     ledger = Ledger(len(image.shards))
     ledger.offset = image.offset
     ledger.log_time = image.log_time
