--- a/src/sablemount/core/messages.py
+++ b/src/sablemount/core/messages.py
@@ -1,4 +1,4 @@
-"""Messages between schedulers; they are sent once and may be lost, late or repeated."""
+"""Messages between schedulers; they are not resent, and may be lost, delayed or duplicated."""
 
 from typing import TypeAlias
 
@@ -23,13 +23,13 @@
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, gc=False, tag=True):
-    """Base of the messages; ``sender`` is the writer that sent it."""
+    """Base class of the messages; ``sender`` is the incarnation that sent the message."""
 
     sender: Writer
 
 
 class MemberBeat(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What one member says of itself; a higher ``beat`` replaces a lower one."""
+    """Heartbeat and state of one member; one with a higher ``beat`` replaces earlier ones."""
 
     member: Writer
     beat: int
@@ -41,22 +41,22 @@
 
 
 class Gossip(_Message, frozen=True):
-    """Heartbeats, the sender's own first."""
+    """Heartbeats of several members, the sender's first."""
 
     beats: tuple[MemberBeat, ...]
 
 
 class ShardEpoch(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One shard and its epoch."""
+    """A shard and its epoch."""
 
     shard: int
     epoch: int
 
 
 class HoldRequest(_Message, frozen=True):
-    """Ask the receiver to append no claim against these shards for ``duration`` seconds.
+    """Request a promise to append no claim of these shards for ``duration`` seconds.
 
-    ``sent_at`` is the sender's monotonic time and comes back with the promise.
+    ``sent_at`` is in the sender's monotonic time and is returned with the promise.
     """
 
     sent_at: float
@@ -65,27 +65,27 @@
 
 
 class HoldPromise(_Message, frozen=True):
-    """The receiver's promise, counted from the request's ``sent_at``."""
+    """Promise in reply to a ``HoldRequest``; ``duration`` counts from the request's ``sent_at``."""
 
     sent_at: float
     duration: float
 
 
 class CatchUp(_Message, frozen=True):
-    """Ask for the ledger, or for what follows ``offset``."""
+    """Request the receiver's ledger, if it is further than ``offset``."""
 
     offset: int
 
 
 class CatchUpReply(_Message, frozen=True):
-    """A packed image of the sender's ledger."""
+    """Packed image of the sender's ledger."""
 
     offset: int
     image: bytes
 
 
 class QuotaAsk(_Message, frozen=True):
-    """Ask the owner of ``source`` to give a part of a quota to the shard ``to``."""
+    """Ask the owner of shard ``source`` to move a part of a quota share to shard ``to``."""
 
     organisation: str
     source: int
@@ -95,7 +95,7 @@
 
 
 class DrainNotice(_Message, frozen=True):
-    """Tell that an operator drains a VM, or takes it back."""
+    """Notification that an operator drains a VM, or returns it to use."""
 
     vm: str
     drain: bool
@@ -110,10 +110,10 @@
 
 
 def encode_message(message: PeerMessage) -> bytes:
-    """Return the bytes of a message."""
+    """Return a message in its encoded form."""
     return _ENCODER.encode(message)
 
 
 def decode_message(payload: bytes) -> PeerMessage:
-    """Return the message in ``payload``; raises ``msgspec.DecodeError``."""
+    """Decode a message; raise ``msgspec.DecodeError`` if the payload is invalid."""
     return _DECODER.decode(payload)
--- a/src/sablemount/core/records.py
+++ b/src/sablemount/core/records.py
@@ -1,7 +1,8 @@
 """Records that schedulers append to the platform's log.
 
-A record carries the state that it expects. The fold applies a record whose expectation holds and
-ignores any other, so the first valid record at the lowest offset wins on every reader alike.
+A record contains the state that it expects, as for a compare-and-set. The ledger applies a record
+only if the expected state is the current one, so of conflicting records the one at the lowest
+offset takes effect, and every reader selects the same one.
 """
 
 from typing import TypeAlias
@@ -41,11 +42,11 @@
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, gc=False, tag=True):
-    """Base of the record bodies: a compact tagged array."""
+    """Base class of the record bodies, which are encoded as tagged arrays."""
 
 
 class Writer(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One run of one scheduler process."""
+    """One incarnation of a scheduler, as the author of batches."""
 
     name: str
     incarnation: int
@@ -55,34 +56,34 @@
 
 
 class Join(_Message, frozen=True):
-    """Admit the writer as a member; an earlier incarnation of the name is put out."""
+    """Admit the writer as a member; it replaces an earlier incarnation of the same name."""
 
     hall: str
 
 
 class Leave(_Message, frozen=True):
-    """Take the writer off the members: it will append nothing more."""
+    """Remove the writer from the members; it appends nothing more."""
 
 
 class Seen(_Message, frozen=True):
-    """Say nothing but what every batch says: how far the writer has read."""
+    """Heartbeat; it changes nothing, but its batch says how far the writer has read."""
 
 
 class Evict(_Message, frozen=True):
-    """Put out a member that has been silent."""
+    """Remove a member whose heartbeats are overdue."""
 
     member: Writer
 
 
 class Claim(_Message, frozen=True):
-    """Take a shard whose epoch is the expected one."""
+    """Make the writer the owner of a shard, if the shard's epoch is the expected one."""
 
     shard: int
     epoch: int
 
 
 class Release(_Message, frozen=True):
-    """Hand an owned shard to another member, or to nobody."""
+    """Hand over an owned shard to another member, or release it without a successor."""
 
     shard: int
     epoch: int
@@ -90,7 +91,7 @@
 
 
 class Publish(_Message, frozen=True):
-    """Replace a document if its revision is the expected one; 0 means that there is none."""
+    """Publish a document if the current revision is the expected one; 0 expects no document."""
 
     key: str
     expected: int
@@ -99,7 +100,7 @@
 
 
 class Accept(_Message, frozen=True):
-    """Accept the tasks from ``first`` on of a job of ``total`` tasks into a shard."""
+    """Accept into a shard ``count`` tasks, from ``first`` on, of a job of ``total`` tasks."""
 
     job: str
     template: str
@@ -111,14 +112,14 @@
 
 
 class Intent(_Message, frozen=True):
-    """Announce that the owner is about to start a non-repeatable task."""
+    """Announce that the owner of the shard is about to start a non-repeatable task."""
 
     task: str
     epoch: int
 
 
 class Finish(_Message, frozen=True):
-    """Record the outcome of a task under the shard's current epoch."""
+    """Record the outcome of a task, in the current epoch of its shard."""
 
     task: str
     epoch: int
@@ -127,13 +128,13 @@
 
 
 class Cancel(_Message, frozen=True):
-    """Ask for a task to be stopped and not to be started again."""
+    """Request that a task is stopped and not started again."""
 
     task: str
 
 
 class Enroll(_Message, frozen=True):
-    """Announce that the owner of a shard is about to use a VM."""
+    """Announce that the owner of a shard is about to use a VM of it."""
 
     facts: VmFacts
     shard: int
@@ -141,7 +142,7 @@
 
 
 class Dismiss(_Message, frozen=True):
-    """Announce that nothing of ours can be on a VM any more."""
+    """Announce that no work of the schedulers can be on a VM any more."""
 
     vm: str
     shard: int
@@ -149,7 +150,7 @@
 
 
 class Drain(_Message, frozen=True):
-    """Give a VM no new work, or take it back into use."""
+    """Exclude a VM from new work, or return it to use."""
 
     vm: str
     drain: bool
@@ -164,7 +165,7 @@
 
 
 class QuotaMove(_Message, frozen=True):
-    """Move a part of an organisation's quota from one shard's share to another's."""
+    """Move a part of an organisation's quota from the share of one shard to that of another."""
 
     organisation: str
     shard: int
@@ -175,14 +176,14 @@
 
 
 class SpendKey(_Message, frozen=True):
-    """Spend the key of a non-repeatable request; ``issued`` is wall-clock seconds."""
+    """Spend the idempotency key of a non-repeatable request; ``issued`` is in Unix seconds."""
 
     key: str
     issued: int
 
 
 class SnapshotPart(_Message, frozen=True):
-    """One numbered part of the folded state up to and including an offset."""
+    """One numbered part of an image of the ledger at the offset ``upto``."""
 
     upto: int
     index: int
@@ -213,20 +214,20 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A body and its nonce, unique within the writer's incarnation."""
+    """A record body with a nonce that is unique within the writer's incarnation."""
 
     nonce: int
     body: Body
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What one append carries.
+    """The records of one append.
 
-    A reader ignores a batch whose sequence number is not above the last one that it has seen of
-    the same writer. So an append that was lost and takes effect late does nothing once a later
-    batch has been read.
+    A reader ignores a batch whose sequence number is not greater than that of the last batch of
+    the same writer. So an append that got no answer and takes effect late has no effect on the
+    ledger once a later batch has been read.
 
-    ``seen`` is the last offset that the writer had folded, so readers learn what it knows.
+    ``seen`` is the last offset that the writer had applied, so that readers learn what it knows.
     """
 
     writer: Writer
@@ -240,12 +241,12 @@
 
 
 def encode_batch(batch: Batch) -> bytes:
-    """Return the bytes of one append."""
+    """Return a batch in its encoded form."""
     return _ENCODER.encode(batch)
 
 
 def decode_batch(payload: bytes) -> Batch | None:
-    """Return the batch in a log entry, or ``None`` for bytes that are not one."""
+    """Return the batch in a log entry, or ``None`` if the bytes are not a valid batch."""
     try:
         return _DECODER.decode(payload)
     except msgspec.DecodeError:
--- a/src/sablemount/core/rows.py
+++ b/src/sablemount/core/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the ledger, and the log entries that they come from."""
+"""Rows of the ledger, and the log entries from which they are computed."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """One entry as the log service returns it; ``time`` is the log's own clock in seconds."""
+    """One entry of the log; ``time`` is in seconds of the log service's clock."""
 
     offset: int
     time: float
@@ -19,7 +19,7 @@
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """What the fold made of one record; ``error`` is empty for an accepted one."""
+    """Result of applying one record; ``error`` is empty if the record was accepted."""
 
     offset: int
     writer: Writer
@@ -28,12 +28,12 @@
 
     @property
     def accepted(self) -> bool:
-        """Tell whether the record took effect."""
+        """Return whether the record took effect."""
         return not self.error
 
 
 class DocumentRow(msgspec.Struct, frozen=True):
-    """A document in force."""
+    """The current revision of a document."""
 
     document: documents.Document
     revision: int
@@ -42,7 +42,10 @@
 
 
 class TaskRow:
-    """One accepted task, or one replica of a service."""
+    """One accepted task, or one replica of a service.
+
+    ``intent_epoch`` is the epoch in which the start of a non-repeatable task was announced, or 0.
+    """
 
     __slots__ = (
         "accepted_at",
@@ -75,12 +78,12 @@
 
     @property
     def finished(self) -> bool:
-        """Tell whether the outcome is recorded."""
+        """Return whether the outcome has been recorded."""
         return bool(self.verdict)
 
     @property
     def service(self) -> bool:
-        """Tell whether this is a replica of a long-running service."""
+        """Return whether this is a replica of a service."""
         return self.template.kind is Kind.SERVICE
 
     def image(self) -> TaskImage:
@@ -102,7 +105,7 @@
 
     @classmethod
     def from_image(cls, image: TaskImage) -> "TaskRow":
-        """Return the row that an image was taken of."""
+        """Restore a row from its image."""
         row = cls(image.task, image.job, image.template, image.revision)
         row.shard = image.shard
         row.position = image.position
@@ -116,5 +119,5 @@
 
 
 def task_name(job: str, position: int, total: int) -> str:
-    """Return the name of one task of a job."""
+    """Return the name of the task at a position of a job of ``total`` tasks."""
     return job if total == 1 else f"{job}.{position}"
