--- a/src/sablemount/core/scheduler.py
+++ b/src/sablemount/core/scheduler.py
@@ -1,7 +1,7 @@
 """The scheduler core: events in, actions out.
 
 The core has no I/O, no clock and no global random numbers. The runtime, a test or a benchmark
-hands it events with their times and carries out the actions that it returns.
+passes events with their times to it and performs the actions that it returns.
 """
 
 import random
@@ -43,7 +43,7 @@
 
 
 class Scheduler:
-    """One scheduler: its state and the systems that run over it."""
+    """One scheduler: its state and the systems that act on it."""
 
     def __init__(
         self,
@@ -75,90 +75,90 @@
     # -- Events ------------------------------------------------------------------------------
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take one event at a time (local monotonic seconds) and return the actions it gives."""
+        """Handle one event at a time (local monotonic seconds) and return the resulting actions."""
         state = self.state
         paused = now - state.now > state.settings.suspect_after / 2
         state.now = max(state.now, now)
         self.ownership.renew()
         if paused:
             self.inventory.doubt_all()
-        self._take(event)
+        self._dispatch(event)
         actions = state.actions
         state.actions = []
         return actions
 
     @singledispatchmethod
-    def _take(self, event: object) -> None:
+    def _dispatch(self, event: object) -> None:
         raise TypeError(f"unknown event {type(event).__name__}")
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.Tick) -> None:
         self._run_all()
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.LogRead) -> None:
         self.journal.read_ended(event)
         self._run_all()
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.LogReadFailed) -> None:
         self.journal.read_failed()
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.AppendEnded) -> None:
         self.journal.append_ended(event)
         self.journal.run()
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.VmListRead) -> None:
         self.inventory.listed(event)
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.StartEnded) -> None:
         self.reconcile.start_ended(event)
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.PollEnded) -> None:
         self.reconcile.polled(event)
         self.requests.pump()
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.RequestArrived) -> None:
         self.requests.arrived(event)
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.RequestEnded) -> None:
         self.requests.ended(event)
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.RequestWithdrawn) -> None:
         self.requests.withdrawn(event.request)
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.JobSubmitted) -> None:
         self.commands.submitted(event)
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.CancelRequested) -> None:
         self.commands.cancelled(event)
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.PublishRequested) -> None:
         self.commands.published(event)
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.DrainRequested) -> None:
         self.commands.drained(event)
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.StopRequested) -> None:
         self.stopping.requested()
 
-    @_take.register
+    @_dispatch.register
     def _(self, event: events.PeerReceived) -> None:
-        self._peer(event.message)
+        self._dispatch_message(event.message)
 
-    def _peer(self, message: PeerMessage) -> None:
+    def _dispatch_message(self, message: PeerMessage) -> None:
         if isinstance(message, Gossip | CatchUp | CatchUpReply):
             self.membership.received(message)
         elif isinstance(message, HoldRequest | HoldPromise):
@@ -171,7 +171,7 @@
     # -- Systems -----------------------------------------------------------------------------
 
     def _run_all(self) -> None:
-        """Run every system once, in the order in which they depend on each other."""
+        """Run every system once, in the order of their dependencies."""
         self.membership.run()
         self.ownership.run()
         self.inventory.run()
