--- a/src/sablemount/core/config.py
+++ b/src/sablemount/core/config.py
@@ -16,8 +16,8 @@
     """How a placement selects among VMs.
 
     ``packing`` weighs the share of a VM that stays free against the imbalance of its free cores and
-    memory: 1 counts only the former, 0 only the latter. ``candidates`` is the number of VMs that
-    are compared.
+    memory: 1 counts only the former, 0 only the latter. The search for candidates ends
+    once it has found ``candidates`` VMs.
     """
 
     packing: Share = 0.5
@@ -44,6 +44,10 @@
     journal_limit: Count = 20_000
     snapshot_entries: Count = 2_000
 
+    # An owner may act for claim_delay after its latest read of the log. A claimant waits for that
+    # time and for settle, which covers commands that are still on their way. drift is the maximum
+    # relative difference of the rates of two clocks. Without reads, an owner may go on by promises
+    # of the other members, but not for longer than hold_limit.
     claim_delay: Seconds = 2.0
     settle: Seconds = 0.5
     drift: Share = 0.001
@@ -55,6 +59,8 @@
     suspect_after: Seconds = 2.0
     evict_after: Seconds = 10.0
 
+    # An owner keeps renewing run leases for renew_grace after its own lease has ended. A VM counts
+    # as lost after lost_after polls in a row without an answer.
     run_lease: Seconds = 10.0
     renew_grace: Seconds = 20.0
     renew_interval: Seconds = 1.0
@@ -70,6 +76,7 @@
     connections: Count = 64
 
     placements_per_tick: Count = 500
+    # A waiting task rises by one priority level each time that aging has passed.
     aging: Seconds = 120.0
     preempt_limit: Count = 3
     preempt_timeout: Seconds = 3.0
--- a/src/sablemount/core/documents.py
+++ b/src/sablemount/core/documents.py
@@ -174,11 +174,11 @@
 
 
 def bind_parameters(
-    template: TemplateDocument, given: dict[str, Scalar]
+    template: TemplateDocument, overrides: dict[str, Scalar]
 ) -> Result[dict[str, Scalar], str]:
-    """Return the template's parameters updated with the given ones, or an error message."""
+    """Return the template's parameters updated with the overrides, or an error message."""
     bound = dict(template.parameters)
-    for name, value in given.items():
+    for name, value in overrides.items():
         if name not in bound:
             return Err(f"$.parameters.{name}: unknown parameter; allowed: {sorted(bound)}")
         if type(value) is not type(bound[name]):
--- a/src/sablemount/core/shares.py
+++ b/src/sablemount/core/shares.py
@@ -42,8 +42,8 @@
         return [share * limit // total for share in shares]
 
     def _divide(self, limit: int) -> list[int]:
-        whole, rest = divmod(limit, self._shard_count)
-        return [whole + (1 if index < rest else 0) for index in range(self._shard_count)]
+        quotient, remainder = divmod(limit, self._shard_count)
+        return [quotient + (1 if index < remainder else 0) for index in range(self._shard_count)]
 
     def cores(self, organisation: str, shard: int) -> int | None:
         """Return the cores that a shard may grant to an organisation; ``None`` is no limit."""
