--- a/tests/fakes/log.py
+++ b/tests/fakes/log.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's log: offsets, retention, outages, lost answers and late writes."""
+"""Fake of the platform's log: offsets, retention, outages, lost answers and delayed writes."""
 
 import enum
 
@@ -6,6 +6,12 @@
 
 
 class LogMode(enum.Enum):
+    """How the log treats calls.
+
+    ``DOWN`` refuses reads and appends. ``LOSES_ANSWERS`` writes an append without an answer, and
+    ``WRITES_LATE`` gives no answer either and delays the write.
+    """
+
     UP = "up"
     DOWN = "down"
     LOSES_ANSWERS = "loses answers"
@@ -13,14 +19,17 @@
 
 
 class LogUnavailable(Exception):
+    # A call was refused and has had no effect.
     pass
 
 
 class AnswerLost(Exception):
-    """The append may take effect, now or later."""
+    """An append got no answer; it may have taken effect or may do so later."""
 
 
 class FakeLog:
+    """A log in memory that keeps the last ``retention`` entries."""
+
     def __init__(self, retention: int = 1_000_000) -> None:
         self.entries: list[LogEntry] = []
         self.head = 0
@@ -53,6 +62,7 @@
         return self.head
 
     def land_late_writes(self, now: float) -> None:
+        """Write the appends that were delayed in ``LogMode.WRITES_LATE``."""
         for payload in self.late:
             self._write(payload, now)
         self.late.clear()
--- a/tests/fakes/servers.py
+++ b/tests/fakes/servers.py
@@ -1,4 +1,4 @@
-"""The stand-ins behind real sockets, as the adapters guess the platform's protocols."""
+"""HTTP servers for the fakes, with the platform's protocols as the adapters assume them."""
 
 import asyncio
 import time
@@ -17,11 +17,12 @@
 from tests.fakes.worker import FakeWorker, Truth
 
 LOOPBACK = "127.0.0.1"
-LOST_SECONDS = 5.0
+LOST_ANSWER_DELAY_S = 5.0
+"""Delay of an answer that counts as lost; longer than the callers' timeouts."""
 
 
 def listen(application: web.Application, port: int = 0) -> tuple[httpserver.HTTPServer, int]:
-    """Serve on a free port of the loopback address and return it."""
+    """Serve on a loopback port, by default a free one; return the server and the port."""
     sockets = netutil.bind_sockets(port, LOOPBACK)
     server = httpserver.HTTPServer(application)
     server.add_sockets(sockets)
@@ -29,7 +30,7 @@
 
 
 class StaticVm:
-    """A VM that is always up, for lists of workers in other processes."""
+    """A VM that is always up, for workers that run in other processes."""
 
     up = True
 
@@ -48,7 +49,7 @@
         routes = [
             (r"/append", _Append, {"platform": self}),
             (r"/read", _Read, {"platform": self}),
-            (r"/vms", _List, {"platform": self}),
+            (r"/vms", _VmList, {"platform": self}),
         ]
         application = web.Application(routes, log_function=lambda handler: None)
         self.server, self.port = listen(application)
@@ -70,7 +71,7 @@
         except LogUnavailable:
             self.set_status(503)
         except AnswerLost:
-            await asyncio.sleep(LOST_SECONDS)
+            await asyncio.sleep(LOST_ANSWER_DELAY_S)
 
 
 class _Read(_PlatformHandler):
@@ -85,14 +86,14 @@
         self.finish(msgspec.msgpack.encode(ReadReply(log.head, log.first, entries)))
 
 
-class _List(_PlatformHandler):
+class _VmList(_PlatformHandler):
     def get(self) -> None:
         listed = [vm.facts for vm in self.platform.workers if vm.up]
         self.finish(msgspec.json.encode(listed))
 
 
 class WorkerServer:
-    """One worker on its own port; ``behave`` may bend the answers to requests."""
+    """One worker on its own port; with ``cut_short`` it closes the connection within an answer."""
 
     def __init__(self, facts: VmFacts, truth: Truth, service_time: float = 0.0) -> None:
         self.service_time = service_time
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,7 +1,7 @@
-"""Stand-in for a worker: runs under leases, requests in slots, and the truth about both.
+"""Fake of a worker, with runs under leases and requests in slots, and a check of invariants.
 
-The worker grants whatever it is told to: it has no guards. ``Truth`` sees every grant of every
-worker and keeps the violations of the invariants.
+The worker accepts every run and request without a check of its own. ``GroundTruth`` is notified of
+everything that any worker starts, and records violations of the invariants.
 """
 
 from collections import Counter, defaultdict
@@ -15,11 +15,16 @@
 from sablemount.core.tables import task_of
 
 LIVE = (RunState.RUNNING, RunState.THROTTLED)
-LEAVING_GRACE = 3.0
+LEAVING_GRACE_S = 3.0
+"""Time within which schedulers must learn that a VM is leaving and stop sending it work."""
 
 
 class Truth:
-    """What really happened, across all workers."""
+    """What all workers have run, regardless of what schedulers know of it.
+
+    ``running_on`` has the VMs on which a task runs, and ``at_most_once`` the tasks that may be
+    started only once. Requests whose names are equal up to a ``!`` share an idempotency key.
+    """
 
     def __init__(self) -> None:
         self.violations: list[str] = []
@@ -44,24 +49,28 @@
 
     def served(self, request: str) -> None:
         self.executed[request] += 1
-        key, shared, _ = request.partition("!")
-        if shared:
+        key, separator, _ = request.partition("!")
+        if separator:
             self.executed[key] += 1
             if self.executed[key] > 1:
                 self.violations.append(f"at most once: requests with key {key} ran twice")
 
 
 class Run:
-    def __init__(self, run: str, shape: Shape, until: float, lease_until: float) -> None:
+    """A run on a fake worker; it ends at ``ends_at``, or before when its lease expires."""
+
+    def __init__(self, run: str, shape: Shape, ends_at: float, lease_until: float) -> None:
         self.run = run
-        self.full = shape
+        self.full_shape = shape
         self.shape = shape
-        self.until = until
+        self.ends_at = ends_at
         self.lease_until = lease_until
         self.state = RunState.RUNNING
 
 
 class FakeWorker:
+    """A worker in memory; ``left_at`` is the time from which its VM is leaving."""
+
     def __init__(self, facts: VmFacts, truth: Truth, boot: str = "boot-1") -> None:
         self.facts = facts
         self.truth = truth
@@ -81,8 +90,8 @@
         if run in self.runs:
             return self.runs[run].state in LIVE
         self._check_leaving(f"start of {run}", now)
-        until = now + seconds if seconds else float("inf")
-        self.runs[run] = Run(run, shape, until, now + lease)
+        ends_at = now + seconds if seconds else float("inf")
+        self.runs[run] = Run(run, shape, ends_at, now + lease)
         self.truth.began(task_of(run), self.facts.vm, now)
         self._check_capacity()
         return True
@@ -112,10 +121,10 @@
     def _command(self, run: Run, kind: CommandKind) -> None:
         if kind is CommandKind.THROTTLE:
             run.state = RunState.THROTTLED
-            run.shape = run.full.throttled()
+            run.shape = run.full_shape.throttled()
         elif kind is CommandKind.RESTORE:
             run.state = RunState.RUNNING
-            run.shape = run.full
+            run.shape = run.full_shape
             self._check_capacity()
         else:
             stopped = kind is CommandKind.STOP
@@ -127,13 +136,14 @@
         self.truth.ended(task_of(run.run), self.facts.vm)
 
     def advance(self, now: float) -> None:
+        """End the runs that are done or whose leases have expired."""
         for run in self.runs.values():
-            if run.state in LIVE and min(run.lease_until, run.until) <= now:
-                done = run.until <= run.lease_until
+            if run.state in LIVE and min(run.lease_until, run.ends_at) <= now:
+                done = run.ends_at <= run.lease_until
                 self._end(run, RunState.DONE if done else RunState.LAPSED)
 
     def fail(self) -> None:
-        """The VM dies: all that it runs is over."""
+        """Crash the VM, which ends all its runs and requests."""
         self.up = False
         for run in self.runs.values():
             if run.state in LIVE:
@@ -156,15 +166,15 @@
     def end(self, request: str) -> None:
         self.requests.pop(request, None)
 
-    # -- Truth -------------------------------------------------------------------------------
+    # -- Checks ------------------------------------------------------------------------------
 
     def leave(self, now: float) -> None:
         self.leaving = True
         self.left_since = now
 
-    def _check_leaving(self, what: str, now: float) -> None:
-        if now > self.left_since + LEAVING_GRACE:
-            self.truth.violations.append(f"leaving: {what} on {self.facts.vm}")
+    def _check_leaving(self, work: str, now: float) -> None:
+        if now > self.left_since + LEAVING_GRACE_S:
+            self.truth.violations.append(f"leaving: {work} on {self.facts.vm}")
 
     def used(self) -> Shape:
         total = Shape(slots=len(self.requests))
@@ -175,5 +185,5 @@
     def _check_capacity(self) -> None:
         used = self.used()
         if not used.fits(self.facts.capacity):
-            over = msgspec.json.encode(used).decode()
-            self.truth.violations.append(f"capacity: {self.facts.vm} holds {over}")
+            in_use = msgspec.json.encode(used).decode()
+            self.truth.violations.append(f"capacity: {self.facts.vm} holds {in_use}")
