--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,8 +1,9 @@
-"""The answer to an append of a former incarnation says nothing of the present one's.
+"""Late answers to appends of a previous incarnation of a scheduler.
 
-A scheduler that was put out becomes a new incarnation, which numbers its batches from 1 anew. The
-append that it had on its way then may be answered after the first one of the new incarnation was
-sent under the same number. What the new one has written must still be written, once.
+An evicted scheduler becomes a new incarnation, which numbers its batches from 1 again. An answer
+to the previous incarnation's append may arrive after the new incarnation has sent its first append
+with the same number. It must not be taken for the answer to that one, whose records still have to
+be written exactly once.
 """
 
 import pytest
@@ -18,14 +19,14 @@
 
 
 def _appends(state: State) -> list[AppendLog]:
-    """Return the appends that were given since the last look."""
+    """Return the appends among the new actions, and discard the actions."""
     found = [action for action in state.actions if isinstance(action, AppendLog)]
     state.actions.clear()
     return found
 
 
 def _next_incarnation(state: State, journal: Journal) -> AppendLog:
-    """Put a scheduler out, and return the append with which its next incarnation joins."""
+    """Start the next incarnation of a scheduler, and return the append with which it joins."""
     state.writer = Writer(state.writer.name, state.writer.incarnation + 1)
     journal.forget_all()
     journal.write(records.Join("hall-0"))
@@ -42,16 +43,16 @@
     (member,) = cell.live()
     state, journal = member.core.state, member.core.journal
     state.actions.clear()
-    former = _next_incarnation(state, journal)
-    present = _next_incarnation(state, journal)
+    previous = _next_incarnation(state, journal)
+    current = _next_incarnation(state, journal)
     journal.write(records.Seen())
-    journal.append_ended(AppendEnded(former.sequence, status))
-    journal.append_ended(AppendEnded(present.sequence, AppendStatus.UNKNOWN))
-    again = []
+    journal.append_ended(AppendEnded(previous.sequence, status))
+    journal.append_ended(AppendEnded(current.sequence, AppendStatus.UNKNOWN))
+    resent = []
     for _ in range(10):
         state.now += 1.0
         journal.run()
-        again += [append.payload for append in _appends(state)]
-    # Nobody knows whether the present one is in the log, so it is sent as it was.
-    assert again == [present.payload] * len(again)
-    assert again
+        resent += [append.payload for append in _appends(state)]
+    # The append may be in the log already, so it is resent unchanged.
+    assert resent == [current.payload] * len(resent)
+    assert resent
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The fold: compare-and-set, repeats, late writes, shares and snapshots."""
+"""Tests of the ledger: compare-and-set, repeated and delayed batches, shares and snapshots."""
 
 import random
 from collections.abc import Sequence
@@ -23,7 +23,7 @@
 
 
 class Author:
-    """Appends batches of one writer to a list of entries."""
+    """Makes batches of one writer and applies them to a ledger."""
 
     def __init__(self, ledger: Ledger, writer: Writer) -> None:
         self.ledger = ledger
@@ -33,19 +33,21 @@
 
     def payload(self, *bodies: Body) -> bytes:
         self.sequence += 1
-        made = tuple(Record(index, body) for index, body in enumerate(bodies))
-        return encode_batch(Batch(self.writer, self.sequence, self.ledger.offset, made))
+        batch_records = tuple(Record(index, body) for index, body in enumerate(bodies))
+        return encode_batch(Batch(self.writer, self.sequence, self.ledger.offset, batch_records))
 
     def write(self, *bodies: Body, time: float = 0.0) -> list[str]:
-        return fold(self.ledger, self.payload(*bodies), time)
+        return apply(self.ledger, self.payload(*bodies), time)
 
 
-def fold(ledger: Ledger, payload: bytes, time: float = 0.0) -> list[str]:
+def apply(ledger: Ledger, payload: bytes, time: float = 0.0) -> list[str]:
+    """Apply a payload as the next entry, and return the error of each record."""
     entry = LogEntry(ledger.offset + 1, time, payload)
     return [applied.error for applied in ledger.apply(entry)]
 
 
 def joined() -> tuple[Ledger, Author, Author]:
+    """Return a ledger with the members a and b, and an author for each."""
     ledger = Ledger(SHARDS)
     authors = Author(ledger, A), Author(ledger, B)
     for author in authors:
@@ -66,9 +68,9 @@
     ledger, a, _ = joined()
     lost = a.payload(records.SpendKey("k1", 0))
     later = a.payload(records.SpendKey("k2", 0))
-    assert fold(ledger, later) == [""]
-    assert fold(ledger, lost) == []
-    assert fold(ledger, later) == []
+    assert apply(ledger, later) == [""]
+    assert apply(ledger, lost) == []
+    assert apply(ledger, later) == []
     assert set(ledger.keys) == {"k2"}
 
 
@@ -77,10 +79,10 @@
     for key in range(9):
         a.write(records.SpendKey(f"old-{key}", 0))
     late = a.payload(records.Leave())
-    again = Author(ledger, Writer("a", 2))
-    again.write(again.join)
-    assert fold(ledger, late) == ["the writer is not a member"]
-    assert again.write(records.SpendKey("new", 0)) == [""]
+    next_incarnation = Author(ledger, Writer("a", 2))
+    next_incarnation.write(next_incarnation.join)
+    assert apply(ledger, late) == ["the writer is not a member"]
+    assert next_incarnation.write(records.SpendKey("new", 0)) == [""]
 
 
 def test_a_member_that_was_put_out_counts_no_more() -> None:
@@ -88,7 +90,7 @@
     late_join = Author(ledger, B)
     assert a.write(records.Evict(B)) == [""]
     assert b.write(records.Claim(0, 0)) == ["the writer is not a member"]
-    assert fold(ledger, late_join.payload(late_join.join)) == [
+    assert apply(ledger, late_join.payload(late_join.join)) == [
         "this or a later incarnation has joined before"
     ]
 
@@ -106,11 +108,11 @@
 def test_a_key_is_refused_past_the_horizon_and_never_forgotten_before() -> None:
     ledger, a, _ = joined()
     assert a.write(records.SpendKey("k", 1000), time=1000.0) == [""]
-    edge = 1000.0 + KEY_HORIZON
-    assert a.write(records.SpendKey("k", 1000), time=edge) == ["the key is spent"]
-    past = edge + 2 * KEY_SKEW + 1
-    a.write(records.Seen(), time=past)
-    (error,) = a.write(records.SpendKey("k", 1000), time=past)
+    oldest_valid = 1000.0 + KEY_HORIZON
+    assert a.write(records.SpendKey("k", 1000), time=oldest_valid) == ["the key is spent"]
+    too_late = oldest_valid + 2 * KEY_SKEW + 1
+    a.write(records.Seen(), time=too_late)
+    (error,) = a.write(records.SpendKey("k", 1000), time=too_late)
     assert error == "the key is older than the horizon"
     assert "k" not in ledger.keys
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,7 @@
-"""Failing upstreams are ejected for a bounded share of the VMs, and probed back."""
+"""Tests of ejection: VMs that fail requests get none for a while, and are then probed.
+
+No more than a share of all VMs is ejected at a time.
+"""
 
 from sablemount.core import actions, events
 from sablemount.core.config import CoreSettings
@@ -19,8 +22,8 @@
     return cell
 
 
-def fail(cell: VirtualCell, vm: str, times: int, failure: Failure | None = FAILED) -> None:
-    """Let attempts at a VM end, as the runtime would report them."""
+def end_attempts(cell: VirtualCell, vm: str, times: int, failure: Failure | None = FAILED) -> None:
+    """Report the end of attempts at a VM to the scheduler, as the runtime does."""
     member = cell.members["s0"]
     for _ in range(times):
         served = Served(b"", vm) if failure is None else None
@@ -32,53 +35,53 @@
     return {row.vm for row in rows.values() if row.was_usable}
 
 
-def served_by(cell: VirtualCell, count: int) -> set[str]:
-    seen: set[str] = set()
+def vms_that_serve(cell: VirtualCell, count: int) -> set[str]:
+    vms: set[str] = set()
 
     def observe(member: object, action: actions.Action) -> None:
         if isinstance(action, actions.Serve):
-            seen.add(action.vm)
+            vms.add(action.vm)
 
     cell.observers.append(observe)
     for _ in range(count):
         cell.request("rueda/quote", "s0")
         cell.run(0.05)
     cell.observers.remove(observe)
-    return seen
+    return vms
 
 
 def test_a_failing_upstream_is_ejected_and_probed_back() -> None:
     cell = make_cell()
-    fail(cell, "vm-3", 2)
+    end_attempts(cell, "vm-3", 2)
     assert "vm-3" in usable(cell)
-    fail(cell, "vm-3", 1)
-    assert "vm-3" not in served_by(cell, 40)
+    end_attempts(cell, "vm-3", 1)
+    assert "vm-3" not in vms_that_serve(cell, 40)
     cell.run(5.0)
-    assert "vm-3" in served_by(cell, 80)
+    assert "vm-3" in vms_that_serve(cell, 80)
 
 
 def test_one_failed_probe_ejects_again_and_one_success_clears() -> None:
     cell = make_cell()
-    fail(cell, "vm-3", 3)
+    end_attempts(cell, "vm-3", 3)
     cell.run(6.0)
     assert "vm-3" in usable(cell)
-    fail(cell, "vm-3", 1)
+    end_attempts(cell, "vm-3", 1)
     assert "vm-3" not in usable(cell)
     cell.run(6.0)
-    fail(cell, "vm-3", 1, failure=None)
-    fail(cell, "vm-3", 2)
+    end_attempts(cell, "vm-3", 1, failure=None)
+    end_attempts(cell, "vm-3", 2)
     assert "vm-3" in usable(cell)
 
 
 def test_the_ejected_share_is_bounded() -> None:
     cell = make_cell()
     for index in range(10):
-        fail(cell, f"vm-{index}", 10)
+        end_attempts(cell, f"vm-{index}", 10)
     assert len(usable(cell)) == 7
 
 
 def test_refusals_by_protocol_eject_nobody() -> None:
     cell = make_cell()
     refused = Failure(Verdict.NOT_RUN, Reason.UPSTREAM_REFUSED)
-    fail(cell, "vm-3", 20, refused)
+    end_attempts(cell, "vm-3", 20, refused)
     assert len(usable(cell)) == 10
