--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Sharing, quotas, yielding, drain, overload and outages: decisions seen from outside."""
+"""Fair sharing, quotas, preemption, drain, overload and outages, tested on a virtual cell."""
 
 import msgspec
 import pytest
@@ -34,6 +34,7 @@
 
 
 def running(cell: VirtualCell, prefix: str) -> list[str]:
+    """Return the live runs on all workers whose names start with a prefix."""
     return [
         run.run
         for worker in cell.workers.values()
@@ -42,10 +43,10 @@
     ]
 
 
-# -- Sharing ---------------------------------------------------------------------------------
+# -- Fair sharing ----------------------------------------------------------------------------
 
 
-def waiting(organisation: str, number: int, shard: int = 0) -> TaskRow:
+def task_row(organisation: str, number: int, shard: int = 0) -> TaskRow:
     template = msgspec.structs.replace(LONG, organisation=organisation)
     row = TaskRow(f"{organisation}-{number}", "job", template, 1)
     row.shard = shard
@@ -53,6 +54,7 @@
 
 
 def serve(queue: WaitQueue, weights: dict[str, float], count: int) -> list[str]:
+    """Take ``count`` tasks in fair order, and return the organisation of each."""
     served = []
     level = 2
     turns = queue.turns(level)
@@ -73,7 +75,7 @@
     queue = WaitQueue()
     for number in range(60):
         for name in ("heavy", "light"):
-            queue.add(waiting(name, number), 0.0, True)
+            queue.add(task_row(name, number), 0.0, True)
     served = serve(queue, {"heavy": 2.0, "light": 1.0}, 30)
     assert served.count("heavy") == 20
 
@@ -81,17 +83,17 @@
 def test_idleness_earns_no_credit() -> None:
     queue = WaitQueue()
     for number in range(50):
-        queue.add(waiting("busy", number), 0.0, True)
+        queue.add(task_row("busy", number), 0.0, True)
     serve(queue, {"busy": 1.0}, 40)
     for number in range(50):
-        queue.add(waiting("late", number), 0.0, True)
+        queue.add(task_row("late", number), 0.0, True)
     served = serve(queue, {"busy": 1.0, "late": 1.0}, 10)
     assert served.count("late") in (5, 6)
 
 
 def test_old_tasks_rise_a_level() -> None:
     queue = WaitQueue()
-    queue.add(waiting("a", 1), 0.0, True)
+    queue.add(task_row("a", 1), 0.0, True)
     queue.promote(50.0, aging=60.0)
     assert queue.lengths() == [0, 0, 1, 0]
     queue.promote(60.0, aging=60.0)
@@ -109,7 +111,7 @@
     cell.log.mode = LogMode.DOWN
     before = cell.truth.starts.total()
     cell.run(60.0)
-    # Six VMs, ten seconds each, about a second between: five rounds or more.
+    # Six VMs with runs of 10 s and about 1 s between two runs: at least five runs on each in 60 s.
     assert cell.truth.starts.total() - before >= 5 * 6
     assert cell.truth.violations == []
 
@@ -129,7 +131,7 @@
     assert highest == 24
 
 
-# -- Yielding --------------------------------------------------------------------------------
+# -- Preemption ------------------------------------------------------------------------------
 
 SPARE = TemplateDocument(
     "yard", "spare", Kind.TASK, PriorityClass.SPARE, Shape(cores=8), expected_seconds=600.0
@@ -147,8 +149,8 @@
     cell.run(4.0)
     assert len(running(cell, "spares")) == 12
     cell.submit("rueda/rush", "rush")
-    took = cell.run_until(lambda: bool(running(cell, "rush")), 5.0)
-    assert took < 2.0
+    elapsed = cell.run_until(lambda: bool(running(cell, "rush")), 5.0)
+    assert elapsed < 2.0
     kinds = {
         label
         for member in cell.members.values()
@@ -171,10 +173,10 @@
     cell.run(4.0)
     cell.submit("rueda/half", "half")
     cell.run(1.5)
-    shapes = [run.shape.cores for w in cell.workers.values() for run in w.runs.values()]
+    shapes = [run.shape.cores for worker in cell.workers.values() for run in worker.runs.values()]
     assert sorted(shapes)[:2] == [4, 4]
     cell.run(20.0)
-    shapes = [run.shape.cores for w in cell.workers.values() for run in w.runs.values()]
+    shapes = [run.shape.cores for worker in cell.workers.values() for run in worker.runs.values()]
     assert shapes == [8] * 12
     assert cell.truth.violations == []
 
@@ -216,11 +218,11 @@
     assert cell.truth.violations == []
 
 
-# -- Take-over and outages -------------------------------------------------------------------
+# -- Takeover and outages --------------------------------------------------------------------
 
 
 def test_new_work_starts_in_a_shard_that_is_not_open_yet() -> None:
-    """A VM that dies with its scheduler keeps old tasks waiting for its leases, not new ones."""
+    """If a scheduler and one of its VMs crash, only old tasks wait for leases to expire."""
     cell = make_cell()
     owner = cell.owners()[cell.live()[0].core.state.vms["vm-0"].shard]
     cell.crash(owner)
@@ -243,7 +245,7 @@
 
 
 def test_nine_members_keep_within_the_logs_budget() -> None:
-    # The tick alone would hold each member to ten appends a second.
+    # With the default tick of 0.1 s, ten appends a second would be the limit of each member.
     settings = CoreSettings(shards=9, tick=0.02, append_budget=90.0)
     cell = VirtualCell(9, 12, 5, settings)
     cell.run_until(cell.settled, 30.0)
@@ -272,25 +274,25 @@
     cheap = msgspec.structs.replace(QUOTE, name="cheap", priority=PriorityClass.SPARE)
     cell.publish(cheap)
     cell.run(1.0)
-    asked = []
+    sent = []
     for index in range(600):
         template = "rueda/cheap" if index % 2 else "rueda/quote"
-        asked.append((template, cell.request(template, f"s{index % 3}", wait=1.0)))
+        sent.append((template, cell.request(template, f"s{index % 3}", wait=1.0)))
     cell.run(0.02)
-    early = [request for _, request in asked if request in cell.answers]
-    assert len(early) > 100
+    answered = [request for _, request in sent if request in cell.answers]
+    assert len(answered) > 100
     cell.run(3.0)
-    good = {"rueda/cheap": 0, "rueda/quote": 0}
-    for template, request in asked:
+    succeeded = {"rueda/cheap": 0, "rueda/quote": 0}
+    for template, request in sent:
         result = cell.answers[request]
         if result.is_ok():  # type: ignore[attr-defined]
-            good[template] += 1
+            succeeded[template] += 1
             continue
         failure = result.err_value  # type: ignore[attr-defined]
         if failure.reason is Reason.OVERLOADED:
             assert failure.verdict is Verdict.NOT_RUN
             assert failure.retry_after is not None
-    assert good["rueda/quote"] > good["rueda/cheap"]
+    assert succeeded["rueda/quote"] > succeeded["rueda/cheap"]
     later = [cell.request("rueda/quote", f"s{index % 3}") for index in range(20)]
     cell.run(1.0)
     assert all(cell.answers[request].is_ok() for request in later)  # type: ignore[attr-defined]
@@ -336,8 +338,8 @@
     for worker in cell.workers.values():
         for name in cell.names:
             cell.part(name, worker.facts.vm)
-    lone = next((name for name in cell.names if name not in cell.owners().values()), "")
-    member = cell.members[lone or "s0"]
+    without_shards = next((name for name in cell.names if name not in cell.owners().values()), "")
+    member = cell.members[without_shards or "s0"]
     for row in member.core.state.vms.values():
         member.core.state.slots.remove(row)
     cell.request("rueda/quote", member.name, wait=0.3)
