--- a/src/sablemount/core/config.py
+++ b/src/sablemount/core/config.py
@@ -16,8 +16,8 @@
     """How a placement selects among VMs.
 
     ``packing`` weighs the share of a VM that stays free against the imbalance of its free cores and
-    memory: 1 counts only the former, 0 only the latter. The search for candidates ends
-    once it has found ``candidates`` VMs.
+    memory: 1 counts only the former, 0 only the latter. The search for candidates ends once it
+    has found ``candidates`` VMs.
     """
 
     packing: Share = 0.5
@@ -76,7 +76,7 @@
     connections: Count = 64
 
     placements_per_tick: Count = 500
-    # A waiting task rises by one priority level each time that aging has passed.
+    # The first waiting task of a group rises by one priority level after each period of aging.
     aging: Seconds = 120.0
     preempt_limit: Count = 3
     preempt_timeout: Seconds = 3.0
--- a/src/sablemount/core/ledger.py
+++ b/src/sablemount/core/ledger.py
@@ -20,7 +20,10 @@
 __all__ = ["Ledger"]
 
 KEY_HORIZON = 86_400.0
-"""Time for which a spent key is remembered, and maximum age of a key when it is spent."""
+"""Maximum age of a key when it is spent.
+
+A spent key is remembered for this time and twice the clock skew, so that it can't be spent again.
+"""
 KEY_SKEW = 300.0
 """Maximum difference between a caller's clock and the log's."""
 FINISHED_HORIZON = 86_400.0
--- a/src/sablemount/core/state.py
+++ b/src/sablemount/core/state.py
@@ -36,7 +36,8 @@
     The scheduler may act on its shards while ``now`` is below ``lease_until``. ``held_shards``
     contains the shards that it owns according to the ledger, and ``run_of`` maps a task to its
     current run. ``last_caught_up_at`` is the time at which the latest read was sent after which
-    the ledger had reached the end of the log.
+    the ledger had reached the end of the log. ``drain_notices`` has the drains that operators have
+    requested by VM, which take precedence over those in the ledger.
     """
 
     def __init__(
@@ -111,7 +112,7 @@
     # -- VMs ---------------------------------------------------------------------------------
 
     def leaving(self, row: VmRow) -> bool:
-        """Return whether a VM may get no new work.
+        """Return whether a VM must not get new work.
 
         That is so if the VM list, the VM itself or an operator says that it is leaving, or if it
         is no longer in the VM list.
