--- a/src/sablemount/core/tables.py
+++ b/src/sablemount/core/tables.py
@@ -239,11 +239,11 @@
 
     __slots__ = ("active_at", "epoch", "lapse_at", "opened", "shard", "state")
 
-    def __init__(self, shard: int, epoch: int, active_at: float, lapse_at: float) -> None:
+    def __init__(self, shard: int, epoch: int, active_at: float, leases_expire_at: float) -> None:
         self.shard = shard
         self.epoch = epoch
         self.active_at = active_at
-        self.lapse_at = lapse_at
+        self.lapse_at = leases_expire_at
         self.state = HoldState.WAITING
         self.opened = False
 
