--- a/tests/emulator/system.py
+++ b/tests/emulator/system.py
@@ -1,4 +1,4 @@
-"""The emulated system: members that are started and killed, callers, and what must hold."""
+"""The emulated system: members that can be started and killed, callers, and final checks."""
 
 import asyncio
 import contextvars
@@ -46,21 +46,21 @@
 CAPACITY = Shape(16_000, 64_000, 0)
 TIMEOUT = 2.7
 RETRIES = 6
-CRASHES_GIVE_UP = 2
-"""VMs that have to crash under a task for it to be given up."""
+CRASHES_UNTIL_FAILED = 2
+"""Crashes of VMs under a task after which its job may be reported as failed."""
 
 
 LISTED_AFTER = (0.0, 0.5)
-"""Seconds after its start until a VM has written its entry."""
-ENTRY_KEPT = 4.5
-"""Seconds for which the entry of a VM that says nothing more stands."""
+"""Range of seconds from the start of a VM until it has written its directory entry."""
+ENTRY_KEPT_S = 4.5
+"""Seconds for which the entry of a VM stays listed after the VM has ended."""
 STORE_POLL = 0.05
 
 
 def entry(vm: Vm) -> bytes:
-    """Return what a VM says of itself in the store."""
+    """Return a VM's directory entry as it stands in the store."""
     info = vm.info
-    told = {
+    fields = {
         "service": info.pool,
         "addr": info.address,
         "zone": "z",
@@ -73,11 +73,11 @@
         "seq": info.revision,
         "born": vm.born,
     }
-    return json.dumps(told).encode()
+    return json.dumps(fields).encode()
 
 
 class Codec(PlatformDirectory):
-    """Reads VMs' entries as the product does, and configurations as the emulation writes them."""
+    """Reads VM entries as the product does, and configurations as the emulation encodes them."""
 
     def configuration(self, record: Record) -> Configuration | None:
         if record.key != "config" or not record.value:
@@ -86,7 +86,7 @@
 
 
 class System:
-    """A running system."""
+    """A system of members, VMs, store and network that runs in virtual time."""
 
     def __init__(self, seed: int, members: int = 4, vms: int = 6, advice: bool = False) -> None:
         self.rng = random.Random(seed)
@@ -94,7 +94,7 @@
         self.store = WatchedState(random.Random(seed + 1), self.watch)
         self.transit = Transit(random.Random(seed + 3))
         self.cell = Cell(random.Random(seed + 2))
-        self.cell.on_crash = self._crashed
+        self.cell.on_crash = self._on_task_crashes_vm
         self.wires = Wires()
         self.members: dict[str, WatchedMember] = {}
         self.names = [f"m{number}" for number in range(members)]
@@ -103,13 +103,13 @@
         self.cancelled: set[str] = set()
         self.open_calls = 0
         self.fail_closed = False
-        """Whether members refuse callers while nobody confirms their configuration."""
+        """Whether members refuse callers while their configuration is unconfirmed."""
         self.ids_stay = False
-        """Whether VMs that crash start again under their ids."""
+        """Whether VMs that crash start again under the same id."""
         self.limits: dict[str, MachineLimits] = {}
-        """What the machines of some members give them; the others have enough of everything."""
+        """Machine limits by member; a member that is not listed has no limit."""
         self.links: dict[str, NarrowLink] = {}
-        """Links of some members to the store; those of the others carry all at once."""
+        """Links to the store by member; a member that is not listed has unlimited bandwidth."""
         self._life = 0
         self.cell.advised = advice
         self._advice = AdviceTerms(5.0, 0.1, 2000.0) if advice else None
@@ -128,9 +128,9 @@
         public: bool = False,
         idle: int = 0,
     ) -> None:
-        """Write a configuration; callers need keys once it names organisations.
+        """Publish a configuration; callers need keys if it names organisations.
 
-        ``idle`` is how many queues it has that nobody calls.
+        ``idle`` is the number of additional queues without callers.
         """
         terms = QueueTerms("work", "pool", 0, self.cell.max_attempts, 2.0, 1000.0, self._advice)
         configuration = Configuration(
@@ -148,7 +148,7 @@
         self.store.topics[Topic.VMS].add([Record(vm.info.name, entry(vm))])
 
     def list_foreign(self, key: str, value: bytes) -> None:
-        """Let another writer put something beside the VMs' entries."""
+        """Write a foreign record into the topic of the VM entries."""
         self.store.topics[Topic.VMS].add([Record(key, value)])
 
     def unlist_vm(self, vm: Vm) -> None:
@@ -164,20 +164,23 @@
             return
         self.cell.crash(vm)
         if back_after is not None:
-            asyncio.get_running_loop().call_later(back_after, self._vm_back, vm)
+            asyncio.get_running_loop().call_later(back_after, self._replace_vm, vm)
 
     def restart_vm(self, vm: Vm, back_after: float, capacity: Shape = CAPACITY) -> None:
-        """Crash a VM that starts again under its id; its entry stands for a while meanwhile."""
+        """Crash a VM and start it again under the same id.
+
+        Its entry stays listed for up to ``ENTRY_KEPT_S`` in between.
+        """
         if not vm.up:
             return
         self.cell.crash(vm)
-        asyncio.create_task(self._restarts(vm, back_after, capacity))
+        asyncio.create_task(self._replace_incarnation(vm, back_after, capacity))
 
-    async def _restarts(self, vm: Vm, back_after: float, capacity: Shape) -> None:
-        await asyncio.sleep(min(back_after, ENTRY_KEPT))
-        if back_after > ENTRY_KEPT:
+    async def _replace_incarnation(self, vm: Vm, back_after: float, capacity: Shape) -> None:
+        await asyncio.sleep(min(back_after, ENTRY_KEPT_S))
+        if back_after > ENTRY_KEPT_S:
             self.unlist_vm(vm)
-            await asyncio.sleep(back_after - ENTRY_KEPT)
+            await asyncio.sleep(back_after - ENTRY_KEPT_S)
         new = self.cell.restart(vm, capacity)
         await asyncio.sleep(self.rng.uniform(*LISTED_AFTER))
         while self.store.down:
@@ -185,11 +188,11 @@
         if new.up:
             self.list_vm(new)
 
-    def _crashed(self, vm: Vm) -> None:
-        """Take that a task has crashed its VM, which is back some seconds later."""
+    def _on_task_crashes_vm(self, vm: Vm) -> None:
+        """Handle a VM that a task crashes: it is replaced some seconds later."""
         self.crash_vm(vm, self.rng.uniform(1.0, 4.0))
 
-    def _vm_back(self, vm: Vm) -> None:
+    def _replace_vm(self, vm: Vm) -> None:
         info = vm.info
         self.store.topics[Topic.VMS].add([Record(info.name)])
         self.list_vm(self.cell.add(info.machine, info.rack, CAPACITY, info.address))
@@ -197,12 +200,12 @@
     # -- Members -----------------------------------------------------------------------------
 
     def suspend(self, name: str) -> None:
-        """Let nothing of a member run, while time goes by and nobody hears of it."""
+        """Suspend a member: none of its code runs, its time goes on, and its network is silent."""
         self.wires.silent.add(name)
         suspend(name)
 
     def resume(self, name: str) -> None:
-        """Let a suspended member go on where it was."""
+        """Resume a suspended member where it stopped."""
         if resume(name):
             self.wires.silent.discard(name)
 
@@ -241,23 +244,23 @@
         member = self.members.pop(name, None)
         if member is not None:
             member.close()
-        # What was kept of a suspended one finds that it is over.
+        # The held callbacks of a suspended member run, and find it closed.
         resume(name)
         if back_after is not None:
-            asyncio.get_running_loop().call_later(back_after, self._back, name)
+            asyncio.get_running_loop().call_later(back_after, self._restart_member, name)
 
-    def _back(self, name: str) -> None:
+    def _restart_member(self, name: str) -> None:
         self.wires.silent.discard(name)
         if name not in self.members:
             self.start(name)
 
     def power_off(self, name: str, back_after: float) -> None:
-        """Kill a member so that its connections say nothing of it."""
+        """Kill a member without closing its connections: its peers see silence."""
         self.wires.silent.add(name)
         self.kill(name, back_after)
 
     async def stop(self, name: str, back_after: float) -> None:
-        """Stop a member as planned."""
+        """Stop a member gracefully, and kill it if it still runs a second later."""
         member = self.members.get(name)
         if member is not None:
             await member.stop()
@@ -274,7 +277,7 @@
     # -- Callers -----------------------------------------------------------------------------
 
     async def call(self, call: CallerCall, digest: bytes | None = None) -> CallerReply | None:
-        """Call any member; ``None`` if it died before it answered."""
+        """Call a random member; return ``None`` if it was killed before it replied."""
         names = list(self.members)
         if not names:
             await asyncio.sleep(0.2)
@@ -288,9 +291,9 @@
         return None if task.cancelled() or task.exception() else task.result()
 
     async def submit(self, name: str, spec: JobSpec, caller: str = "") -> None:
-        """Hand a job in, and again while it is not known what became of it.
+        """Submit a job, and retry until it is accepted or ``RETRIES`` attempts were made.
 
-        An organisation's callers show a key that is the digest of its name.
+        The callers of an organisation present a key whose digest is that of its name.
         """
         spec = self.cell.hand_in(name, spec)
         self.cell.owners[name] = caller
@@ -313,13 +316,13 @@
             self.open_calls -= 1
 
     async def hand_in(self, member: str, name: str) -> CallerReply:
-        """Hand in a job of a random kind, once and at one member."""
+        """Submit a random job once, to the given member."""
         spec = self.cell.hand_in(name, self.job())
         call = CallerCall(Operation.SUBMIT, HOST, PREFIX + name, spec)
         return await self.members[member].serve(call, TIMEOUT)
 
     async def cancel(self, name: str) -> None:
-        # Without an answer the job may be cancelled or not.
+        # Without a reply it is unknown whether the job was cancelled.
         self.cancelled.add(name)
         await self.call(CallerCall(Operation.CANCEL, HOST, PREFIX + name), self._digest(name))
 
@@ -327,14 +330,14 @@
         return await self.call(CallerCall(Operation.STATE, HOST, PREFIX + name), self._digest(name))
 
     def _digest(self, name: str) -> bytes | None:
-        """Return the digest of the key of a job's organisation."""
+        """Return the key digest of the organisation that submitted a job."""
         owner = self.cell.owners.get(name, "")
         return key_digest(owner.encode()) if owner else None
 
     async def traffic(
         self, prefix: str, count: int, every: float, callers: tuple[str, ...] = ("",)
     ) -> None:
-        """Hand in some jobs, one after the other, without waiting for answers."""
+        """Submit jobs at random intervals of a given mean, without waiting for the replies."""
         tasks = []
         for number in range(count):
             name = f"{prefix}{number:04x}"
@@ -344,7 +347,7 @@
         await asyncio.wait(tasks)
 
     def job(self) -> JobSpec:
-        """Return a job of a random kind."""
+        """Return a random job."""
         shape = Shape(self.rng.choice((500, 1_000, 4_000, 7_500)), self.rng.choice((500, 8_000)))
         first = StepSpec(count=self.rng.randint(1, 5), shape=shape, expected_ms=1000.0)
         if self.rng.random() < 0.5:
@@ -359,10 +362,10 @@
             return JobSpec("payload", (first, second))
         return JobSpec("payload", (first,))
 
-    # -- What must hold ----------------------------------------------------------------------
+    # -- Final checks ------------------------------------------------------------------------
 
     async def settle(self, seconds: float) -> None:
-        """Undo all faults and wait until every accepted job has ended, or some seconds."""
+        """Clear all faults and wait until every accepted job has ended, up to ``seconds``."""
         self.calm()
         last = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < last:
@@ -371,7 +374,7 @@
                 return
 
     def calm(self) -> None:
-        """Undo all faults."""
+        """Clear all faults and start the members that are down."""
         self.store.down = False
         self.store.turned_away.clear()
         self.store.unread.clear()
@@ -392,7 +395,7 @@
         self.start_all()
 
     async def unfinished(self) -> list[str]:
-        """Return the accepted jobs that have not ended as they should."""
+        """Return the accepted jobs that are not in an allowed final state."""
         found = []
         for name in sorted(self.accepted):
             reply = await self.state(name)
@@ -406,46 +409,46 @@
             return {"cancelled", "succeeded", "failed"}
         if self.cell.crashes_vms(name):
             return {"succeeded", "failed"}
-        if name in self.cell.poison or self._failures_noted(name):
+        if name in self.cell.poison or self._has_acknowledged_failure(name):
             return {"failed"}
-        # A failure whose VM has crashed since may be known, or not.
-        return {"succeeded", "failed"} if self._fails(name) else {"succeeded"}
+        # A failed run may have been lost with its VM, so that both states are allowed.
+        return {"succeeded", "failed"} if self._may_fail(name) else {"succeeded"}
 
-    def _failures_noted(self, name: str) -> bool:
+    def _has_acknowledged_failure(self, name: str) -> bool:
         noted = (self.cell.noted_failures.get(task, ()) for task in self._tasks(name))
         return any(len(ends) >= self.cell.max_attempts for ends in noted)
 
-    def _fails(self, name: str) -> bool:
-        """Tell whether a job may not be done: its VMs saw a task fail as often as it may."""
+    def _may_fail(self, name: str) -> bool:
+        """Return whether a job may fail: a task of it has failed in all its allowed attempts."""
         if name in self.cell.poison:
             return True
         most = self.cell.max_attempts
         return any(self.cell.failures[task] >= most for task in self._tasks(name))
 
     async def faults(self) -> list[str]:
-        """Return what is wrong once all has settled."""
-        wrong = self.watch.violations + self.cell.violations
+        """Return all violations, once the system has settled."""
+        violations = self.watch.violations + self.cell.violations
         if any(later <= earlier for earlier, later in pairwise(self.store.claims)):
-            wrong.append(f"epochs claimed twice: {self.store.claims}")
-        wrong += await self.unfinished()
+            violations.append(f"epochs claimed twice: {self.store.claims}")
+        violations += await self.unfinished()
         for name in sorted(self.refused):
             if any(task.startswith(f"{name}.") for task in self.cell.starts):
-                wrong.append(f"refused, yet started: {name}")
+                violations.append(f"refused, yet started: {name}")
         for name in sorted(self.accepted - self.cancelled):
-            if self._fails(name) or self._given_up(name):
+            if self._may_fail(name) or self._may_fail_for_crashes(name):
                 continue
             missing = [task for task in self._tasks(name) if task not in self.cell.done]
             if missing:
-                wrong.append(f"shown as done without: {missing}")
-        return wrong
+                violations.append(f"shown as done without: {missing}")
+        return violations
 
-    def _given_up(self, name: str) -> bool:
-        """Tell whether a job may be shown as failed: a task of it crashes VMs, and two crashed.
+    def _may_fail_for_crashes(self, name: str) -> bool:
+        """Return whether a job may fail because it crashes VMs, and enough of them have crashed.
 
-        What merely ran beside such a task is to be served, however many VMs crashed under it.
+        A job that merely ran beside such a task has to succeed, however many VMs crashed under it.
         """
         under = (self.cell.crashed_under[task] for task in self._tasks(name))
-        return self.cell.crashes_vms(name) and max(under, default=0) >= CRASHES_GIVE_UP
+        return self.cell.crashes_vms(name) and max(under, default=0) >= CRASHES_UNTIL_FAILED
 
     def _tasks(self, name: str) -> list[str]:
         steps = self.cell.jobs[name].steps
--- a/tests/emulator/vm.py
+++ b/tests/emulator/vm.py
@@ -1,4 +1,4 @@
-"""One emulated VM and the runs on it."""
+"""An emulated VM, and the runs on it."""
 
 import asyncio
 from collections import Counter
@@ -11,15 +11,15 @@
 
 __all__ = ["OpenEnd", "Run", "Vm", "work_owner"]
 
-SAVE_EVERY = 0.4
-"""Seconds of work after which a task that saves has saved anew."""
-SHRUNK_AFTER = 4.5
-"""Seconds after which a capacity that has shrunk binds: contact, and a beat."""
+SAVE_EVERY_S = 0.4
+"""Seconds of work between two checkpoints of a task that saves."""
+SHRINK_BINDS_AFTER_S = 4.5
+"""Seconds after which a reduced capacity binds: the contact time-out and one heartbeat."""
 
 
 @dataclass
 class Run:
-    """A run on a VM."""
+    """A run of a task on a VM."""
 
     task: str
     number: int
@@ -29,30 +29,33 @@
     gang: bool = False
     saves: bool = False
     begun_from: str = ""
-    """What it was started with of an earlier run's work."""
+    """Checkpoint of an earlier run that it was started from; empty if none."""
     stopping: bool = False
     timer: asyncio.TimerHandle | None = None
 
     @property
     def owner(self) -> str:
-        """Return whose saved work is good for it: its task's, or any of its gang's."""
+        """Return the owner of the checkpoints that this run can use."""
         return work_owner(self.task, self.gang)
 
     def saved(self, now: float, stopped: bool = False) -> str:
-        """Return what it has saved: new after each while of work and at a stop."""
-        times = int((now - self.began) / SAVE_EVERY)
-        if not self.saves or not (times or stopped):
+        """Return the latest checkpoint: one is written every ``SAVE_EVERY_S`` and at a stop."""
+        count = int((now - self.began) / SAVE_EVERY_S)
+        if not self.saves or not (count or stopped):
             return self.begun_from
-        return f"{self.owner}|{self.number}.{times}{'s' if stopped else ''}"
+        return f"{self.owner}|{self.number}.{count}{'s' if stopped else ''}"
 
 
 def work_owner(task: str, gang: bool) -> str:
-    """Return whose saved work is good for a task: its own, or that of any of its gang."""
+    """Return the owner of a task's checkpoints: the task itself, or its step for a gang."""
     return task.rpartition(".")[0] if gang else task
 
 
-def _within(shape: Shape, capacity: Shape) -> bool:
-    """Tell whether a capacity holds a shape; the scheduler's own judgement is what is checked."""
+def _fits(shape: Shape, capacity: Shape) -> bool:
+    """Return whether a shape fits into a capacity.
+
+    This doesn't use the scheduler's own comparison, which is what the emulator checks.
+    """
     cores = shape.cores <= capacity.cores
     memory = shape.memory <= capacity.memory
     return cores and memory and shape.accelerators <= capacity.accelerators
@@ -60,61 +63,66 @@
 
 @dataclass(frozen=True)
 class OpenEnd:
-    """An end ``done`` or ``failed`` that is not taken note of; ``lapses`` are its VM's so far."""
+    """A completion ``done`` or ``failed`` that has not been acknowledged yet.
+
+    ``lease_expirations`` is the count of its VM at the time of the completion.
+    """
 
     task: str
-    how: str
+    outcome: str
     at: float
     lapses: int
 
 
 @dataclass
 class Vm:
-    """One life of a VM; ``info.name`` is the id that it may share with other lives."""
+    """One incarnation of a VM; ``info.name`` is the id that other incarnations may share."""
 
     info: VmInfo
     clock_rate: float
     clock_start: float
     life: str = ""
-    """Name of this life, in the emulation only."""
+    """Name of this incarnation; used in the emulation only."""
     born: int = 0
-    """Unix time of its start in ms."""
+    """Unix time of its start, in ms."""
     up: bool = True
     capacities: list[tuple[float, Shape]] = field(default_factory=list)
-    """Capacities that it has had before, each with the time up to which."""
+    """Earlier capacities, each with the time at which it ended."""
     cut: bool = False
     unhealthy: float = 0.0
-    """Share of its calls that it turns away, doing nothing."""
+    """Share of the calls that it rejects without any effect."""
     resets: bool = False
-    """Whether its address resets connections once its life is over, and is not silent."""
+    """Whether its address resets connections after the VM has ended; otherwise it is silent."""
     slow: float = 1.0
     fence: int = 0
     until_ms: float = 0.0
     runs: dict[tuple[str, int], Run] = field(default_factory=dict)
     ends: list[EndReport] = field(default_factory=list)
     barred: Counter[str] = field(default_factory=Counter)
-    """The highest run that was stopped or has ended, by the task: none up to it starts any more."""
+    """Highest run number that was stopped or has ended, by task; up to it no start is accepted."""
     acked_end: int = 0
     next_end: int = 1
     news: asyncio.Event = field(default_factory=asyncio.Event)
     lapse: asyncio.TimerHandle | None = None
     lapses: int = 0
     open_ends: dict[int, OpenEnd] = field(default_factory=dict)
-    """Ends that count once they are taken note of, by number."""
+    """Completions not acknowledged yet, by sequence number."""
 
     def clock_ms(self, now: float) -> float:
         return float(int(self.clock_start + now * 1000.0 * self.clock_rate))
 
     def resize(self, capacity: Shape, now: float) -> None:
-        """Shrink or grow; what runs goes on."""
+        """Change the capacity; the active runs continue."""
         self.capacities.append((now, self.info.capacity))
         revision = self.info.revision + 1
         self.info = msgspec.structs.replace(self.info, capacity=capacity, revision=revision)
 
     def holds(self, shape: Shape, now: float) -> bool:
-        """Tell whether a shape fits into a capacity that may still be taken to be there."""
-        late = [capacity for until, capacity in self.capacities if until > now - SHRUNK_AFTER]
-        return any(_within(shape, capacity) for capacity in [self.info.capacity, *late])
+        """Return whether a shape fits into the capacity, or into one that may still be assumed."""
+        recent = [
+            capacity for until, capacity in self.capacities if until > now - SHRINK_BINDS_AFTER_S
+        ]
+        return any(_fits(shape, capacity) for capacity in [self.info.capacity, *recent])
 
     def used(self) -> Shape:
         total = Shape()
--- a/tests/emulator/vms.py
+++ b/tests/emulator/vms.py
@@ -1,4 +1,4 @@
-"""The emulated VMs together: they obey the protocol and note each broken invariant."""
+"""The emulated VMs: they follow the platform's protocol and record each violated invariant."""
 
 import asyncio
 import random
@@ -15,24 +15,24 @@
 from tests.emulator.vm import OpenEnd, Run, Vm, work_owner
 
 LEASE = 6.0
-STOP_TIME = 0.3
-GANG_TIMEOUT = 3.0
-APPLY_TIME = 3.0
-"""Seconds for which a configuration may be in force after the next one was acknowledged."""
-CRASHES_TOLD = 3
-"""VMs that have to crash under a task before its further starts are counted."""
-STARTS_AFTER = 3
-"""Further starts that are too many."""
-CRASH_AFTER = (0.01, 0.01, 0.01, 0.4, 2.0)
-"""Seconds after which a task that crashes its VM does so, most of them at once."""
-BORN_FROM = 1_780_000_000_000
-"""Unix time in ms at which the emulation's time is 0."""
-CAP_OVERAGE = 1.1
-"""What an organisation may run beside its cap, and one task more."""
+STOP_TIME_S = 0.3
+GANG_TIMEOUT_S = 3.0
+CAP_APPLY_TIME_S = 3.0
+"""Seconds for which a cap may still be applied after the next configuration was published."""
+CRASHES_BEFORE_COUNTING = 3
+"""Crashes of VMs by one task after which its further starts are counted."""
+MAX_STARTS_AFTER_CRASHES = 3
+"""Number of further starts that is a violation."""
+CRASH_DELAYS_S = (0.01, 0.01, 0.01, 0.4, 2.0)
+"""Seconds from the start of a task until it crashes its VM; most do so at once."""
+EPOCH_UNIX_MS = 1_780_000_000_000
+"""Unix time in ms that corresponds to 0 on the emulation's clock."""
+CAP_TOLERANCE = 1.1
+"""Factor of its cap that an organisation may use; one more task may start above that."""
 
 
 def loop_time() -> float:
-    """Return the loop's time; 0 before it runs."""
+    """Return the time of the running loop, or 0 if no loop is running."""
     try:
         return asyncio.get_running_loop().time()
     except RuntimeError:
@@ -40,82 +40,83 @@
 
 
 class Cell:
-    """All VMs, and what is true of the tasks."""
+    """All VMs of a cell, and the true outcome of each task."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.vms: dict[str, Vm] = {}
-        """All lives, by their names."""
-        self._newest: dict[str, Vm] = {}
-        """The newest life of each id."""
+        """All incarnations, by name."""
+        self._newest_by_id: dict[str, Vm] = {}
+        """The newest incarnation of each VM id."""
         self.jobs: dict[str, JobSpec] = {}
         self.done: set[str] = set()
         self.failures: Counter[str] = Counter()
-        """Failed runs by task, also those of which nobody will hear: their VM has crashed."""
+        """Failed runs by task, including those never reported because their VM crashed."""
         self.noted_failures: dict[str, list[float]] = {}
-        """When the runs ended that have failed and are taken note of, by task."""
+        """Times at which failed runs ended whose completion was acknowledged, by task."""
         self.starts: dict[str, list[float]] = {}
         self.noted: set[str] = set()
         self.succeeded: set[str] = set()
-        """Jobs that a caller was told have succeeded."""
+        """Jobs that were reported to a caller as succeeded."""
         self.poison: set[str] = set()
         self.crash_share = 0.0
-        """Share of the jobs handed in that have a task which crashes each VM that starts it."""
+        """Share of the submitted jobs that have a task which crashes each VM that starts it."""
         self.crashing: dict[str, float] = {}
-        """Seconds after which a task crashes its VM, by the task."""
+        """Seconds from the start of a task until it crashes its VM, by task."""
         self.crashes: Counter[str] = Counter()
-        """VMs that a task has crashed, by the task."""
+        """Number of VMs that a task has crashed, by task."""
         self.crashed_under: Counter[str] = Counter()
-        """VMs that have crashed while a task ran there, whatever the cause."""
+        """Number of VMs that crashed while the task ran on them, whatever the cause, by task."""
         self.starts_after: Counter[str] = Counter()
-        """Starts of a task once it had crashed as many VMs as may be."""
+        """Starts of a task after it had crashed ``CRASHES_BEFORE_COUNTING`` VMs, by task."""
         self.on_crash: Callable[[Vm], None] = self.crash
-        """Takes a VM that a task crashes."""
+        """Called with a VM that a task crashes."""
         self.violations: list[str] = []
         self.late_orders = 0.0
         self.advised = False
-        """Whether a start needs the ticket of an advice."""
+        """Whether a start needs a ticket of the advice service."""
         self.held_up = 0.0
-        """Share of calls and answers that are held up on their way."""
+        """Share of the calls and replies that are delayed in transit."""
         self.max_attempts = 4
         self.fail_share = 0.03
         self.seconds = 1.0
-        self._lives = 0
+        self._incarnations = 0
         self.owners: dict[str, str] = {}
-        """Organisations, by job."""
+        """Organisation that submitted a job, by job."""
         self._caps: dict[str, list[tuple[float, Shape]]] = {}
-        """Caps of an organisation, each with the time from which it is in force."""
+        """Caps of each organisation, each with the time of its publication."""
 
     # -- VMs ---------------------------------------------------------------------------------
 
     def add(self, machine: str, rack: str, capacity: Shape, address: str = "") -> Vm:
-        """Start a VM under an id that stands nowhere else."""
-        self._lives += 1
-        name = f"{machine}-{self._lives}"
+        """Start a VM under an id that is not used elsewhere."""
+        self._incarnations += 1
+        name = f"{machine}-{self._incarnations}"
         info = VmInfo(
             name, address or machine, "pool", capacity, ("a", rack), False, machine, revision=1
         )
-        return self._enter(info, info.name)
+        return self._add_incarnation(info, info.name)
 
     def restart(self, vm: Vm, capacity: Shape) -> Vm:
-        """Start a VM again under its id, with all anew; its links are what they were."""
-        self._lives += 1
+        """Start a new incarnation of a VM under the same id; its network faults stay in force."""
+        self._incarnations += 1
         info = msgspec.structs.replace(vm.info, capacity=capacity, draining=False, revision=1)
-        new = self._enter(info, f"{info.name}#{self._lives}")
+        new = self._add_incarnation(info, f"{info.name}#{self._incarnations}")
         new.cut = vm.cut
-        # Smaller than it was it has shrunk meanwhile, which binds as for one that goes on.
+        # A smaller new capacity counts as a shrink, which binds after the same delay as for a VM
+        # that keeps running.
         new.capacities = [*vm.capacities, (loop_time(), vm.info.capacity)]
         return new
 
-    def _enter(self, info: VmInfo, life: str) -> Vm:
+    def _add_incarnation(self, info: VmInfo, life: str) -> Vm:
         vm = Vm(info, self.rng.choice((0.98, 1.0, 1.01)), self.rng.uniform(0, 1e6), life)
-        vm.born = BORN_FROM + int(loop_time() * 1000.0) + self._lives
-        self.vms[life] = self._newest[info.name] = vm
+        vm.born = EPOCH_UNIX_MS + int(loop_time() * 1000.0) + self._incarnations
+        self.vms[life] = self._newest_by_id[info.name] = vm
         return vm
 
     def newest(self, name: str) -> Vm:
-        """Return the newest life of an id."""
-        return self._newest[name]
+        """Return the newest incarnation of a VM id."""
+        return self._newest_by_id[name]
 
     def crash(self, vm: Vm) -> None:
         vm.up = False
@@ -127,38 +128,38 @@
         vm.runs.clear()
 
     def hand_in(self, name: str, spec: JobSpec) -> JobSpec:
-        """Take a job that a caller is about to hand in, some with a task that crashes VMs.
+        """Register a job before it is submitted; some jobs get a task that crashes VMs.
 
-        Return the one that is handed in: under an id that came before, the one of then.
+        Return the job to submit: for an id that is already registered, the job registered first.
         """
         if name in self.jobs:
             return self.jobs[name]
         self.jobs[name] = spec
         if self.crash_share and self.rng.random() < self.crash_share:
-            self._draw_crashing(name, spec)
+            self._draw_crashing_task(name, spec)
         return spec
 
-    def _draw_crashing(self, name: str, spec: JobSpec) -> None:
+    def _draw_crashing_task(self, name: str, spec: JobSpec) -> None:
         number = self.rng.randrange(len(spec.steps))
         index = self.rng.randrange(spec.steps[number].count)
-        self.crashing[f"{name}.0.{number}.{index}"] = self.rng.choice(CRASH_AFTER)
+        self.crashing[f"{name}.0.{number}.{index}"] = self.rng.choice(CRASH_DELAYS_S)
 
     def crashes_vms(self, name: str) -> bool:
-        """Tell whether a task of a job crashes the VMs that start it."""
+        """Return whether a task of the job crashes the VMs that start it."""
         return any(task.startswith(f"{name}.") for task in self.crashing)
 
-    def _crash_under(self, vm: Vm, run: Run) -> None:
-        """Let a task crash its VM, if it still runs there."""
+    def _crash_vm_of(self, vm: Vm, run: Run) -> None:
+        """Crash the VM of a task if the run is still active there."""
         if vm.up and vm.runs.get((run.task, run.number)) is run:
             self.crashes[run.task] += 1
             self.on_crash(vm)
 
-    def _check_crashes(self, task: str) -> None:
-        if self.crashes[task] < CRASHES_TOLD:
+    def _check_starts_after_crashes(self, task: str) -> None:
+        if self.crashes[task] < CRASHES_BEFORE_COUNTING:
             return
         self.starts_after[task] += 1
-        if self.starts_after[task] >= STARTS_AFTER:
-            self.violations.append(f"started again though VMs crash under it: {task}")
+        if self.starts_after[task] >= MAX_STARTS_AFTER_CRASHES:
+            self.violations.append(f"started again though it crashes VMs: {task}")
 
     def life_at(self, address: str) -> Vm | None:
         for vm in self.vms.values():
@@ -169,21 +170,26 @@
     # -- Organisations -----------------------------------------------------------------------
 
     def configured(self, organisations: Sequence[Organisation], now: float) -> None:
-        """Take the caps that the operator has published."""
+        """Record the caps that the operator has published."""
         for organisation in organisations:
             self._caps.setdefault(organisation.name, []).append((now, organisation.cap))
 
     def _highest_cap(self, name: str, now: float) -> int:
-        """Return the highest cap in cores of those that may be in force; 0 for no limit."""
+        """Return the highest cap that may be in force, in thousandths of a core; 0 for no limit."""
         caps = self._caps.get(name, [(now, Shape())])
         ends = [since for since, _ in caps[1:]] + [now]
         cores = [
-            cap.cores for (_, cap), end in zip(caps, ends, strict=True) if end > now - APPLY_TIME
+            cap.cores
+            for (_, cap), end in zip(caps, ends, strict=True)
+            if end > now - CAP_APPLY_TIME_S
         ]
         return 0 if 0 in cores else max(cores, default=0)
 
     def _check_cap(self, action: StartRun, charge: Shape) -> None:
-        """Judge a start that is about to be made: a tenth and a task more than the cap is wrong."""
+        """Check a start against the cap: usage above the cap by a tenth is a violation.
+
+        The usage is taken before the start, so that one more task is allowed.
+        """
         owner = self.owners.get(action.task.partition(".")[0], "")
         cap = self._highest_cap(owner, asyncio.get_running_loop().time())
         if not owner or not cap:
@@ -195,7 +201,7 @@
             for run in vm.runs.values()
             if self.owners.get(run.task.partition(".")[0]) == owner
         )
-        if running > cap * CAP_OVERAGE:
+        if running > cap * CAP_TOLERANCE:
             self.violations.append(f"over the cap of {owner}: {action.task}")
 
     # -- Tasks -------------------------------------------------------------------------------
@@ -209,17 +215,17 @@
             return CallError.FENCED
         vm.fence = fence
         if until < clock:
-            # Also if the run is there.
+            # A late start is refused even if its run already exists.
             return StartRefusal.LATE
-        # A refused start extends the leases too.
-        self._extend(vm, until, now)
+        # A start that is refused below still extends the lease.
+        self._extend_lease(vm, until, now)
         if (action.task, action.run) in vm.runs:
             return Started(clock)
         if action.run <= vm.barred[action.task]:
             return StartRefusal.OLD
         if self.advised and not good_ticket(action, now):
             return StartRefusal.TICKET
-        if not self._may_go_on(action):
+        if not self._has_valid_checkpoint(action):
             return StartRefusal.REJECTED
         self._begin(vm, action, now)
         return Started(clock)
@@ -228,17 +234,17 @@
         job, _, step, _ = task.split(".")
         return self.jobs[job].steps[int(step)]
 
-    def _may_go_on(self, action: StartRun) -> bool:
-        """Judge the saved work that a start brings: it is the task's, or any of its gang's."""
+    def _has_valid_checkpoint(self, action: StartRun) -> bool:
+        """Return whether the checkpoint of a start belongs to its task or to its gang."""
         gang = self._step(action.task).gang
         if not action.saved or action.saved.startswith(f"{work_owner(action.task, gang)}|"):
             return True
-        self.violations.append(f"saved work of another task: {action.task} from {action.saved}")
+        self.violations.append(f"checkpoint of another task: {action.task} from {action.saved}")
         return False
 
     def _begin(self, vm: Vm, action: StartRun, now: float) -> None:
         spec = self._step(action.task)
-        self._check(vm, action, spec.charge)
+        self._check_start(vm, action, spec.charge)
         self._check_cap(action, spec.charge)
         self.starts.setdefault(action.task, []).append(now)
         length = max(0.05, self.rng.expovariate(1.0 / self.seconds)) * vm.slow
@@ -249,27 +255,27 @@
         vm.runs[action.task, action.run] = run
         if action.task in self.crashing:
             after = self.crashing[action.task]
-            asyncio.get_running_loop().call_later(after, self._crash_under, vm, run)
+            asyncio.get_running_loop().call_later(after, self._crash_vm_of, vm, run)
         if spec.gang:
-            self._gang_joined(vm, run, spec.count)
+            self._on_gang_member_started(vm, run, spec.count)
             return
         run.timer = asyncio.get_running_loop().call_later(length, self._finish, vm, run)
 
-    def _gang_joined(self, vm: Vm, run: Run, count: int) -> None:
-        members = self._members(run)
+    def _on_gang_member_started(self, vm: Vm, run: Run, count: int) -> None:
+        members = self._gang_members(run)
         if any(member.begun_from != run.begun_from for _, member in members):
-            self.violations.append(f"a gang goes on from different work: {run.task}")
+            self.violations.append(f"gang resumed from different checkpoints: {run.task}")
         loop = asyncio.get_running_loop()
         if len(members) < count:
-            run.timer = loop.call_later(GANG_TIMEOUT, self._end, vm, run, "alone")
+            run.timer = loop.call_later(GANG_TIMEOUT_S, self._end_run, vm, run, "alone")
             return
         for _, member in members:
             if member.timer is not None:
                 member.timer.cancel()
-        loop.call_later(run.length, self._gang_finish, run, count)
+        loop.call_later(run.length, self._finish_gang, run, count)
 
-    def _members(self, run: Run) -> list[tuple[Vm, Run]]:
-        """Return what is there of a gang's run."""
+    def _gang_members(self, run: Run) -> list[tuple[Vm, Run]]:
+        """Return the active runs of a gang that have the same run number, each with its VM."""
         step = run.task.rpartition(".")[0]
         return [
             (vm, other)
@@ -278,17 +284,17 @@
             if vm.up and other.number == run.number and other.task.rpartition(".")[0] == step
         ]
 
-    def _gang_finish(self, run: Run, count: int) -> None:
-        members = self._members(run)
+    def _finish_gang(self, run: Run, count: int) -> None:
+        members = self._gang_members(run)
         if any(member.task in self.crashing for _, member in members):
             return
-        whole = len(members) == count
-        if whole:
+        is_complete = len(members) == count
+        if is_complete:
             self.done.update(member.task for _, member in members)
         for vm, member in members:
-            self._end(vm, member, "done" if whole else "broken")
+            self._end_run(vm, member, "done" if is_complete else "broken")
 
-    def _check(self, vm: Vm, action: StartRun, charge: Shape) -> None:
+    def _check_start(self, vm: Vm, action: StartRun, charge: Shape) -> None:
         job, repetition, step, _ = action.task.split(".")
         now = asyncio.get_running_loop().time()
         if not vm.holds(charge.plus(vm.used()), now):
@@ -300,13 +306,15 @@
         for other in self.vms.values():
             if other.up and any(run.task == action.task for run in other.runs.values()):
                 self.violations.append(f"runs twice: {action.task}")
-        self._check_crashes(action.task)
+        self._check_starts_after_crashes(action.task)
         if len(self.noted_failures.get(action.task, ())) >= self.max_attempts:
-            self.violations.append(f"beyond its attempts: {action.task}")
+            self.violations.append(f"started beyond its allowed attempts: {action.task}")
         for earlier in self.jobs[job].steps[int(step)].after:
             for index in range(self.jobs[job].steps[earlier].count):
                 if f"{job}.{repetition}.{earlier}.{index}" not in self.done:
-                    self.violations.append(f"before its turn: {action.task}")
+                    self.violations.append(
+                        f"started before its predecessors were done: {action.task}"
+                    )
 
     def _finish(self, vm: Vm, run: Run) -> None:
         if run.task in self.crashing:
@@ -317,9 +325,9 @@
             self.failures[run.task] += 1
         else:
             self.done.add(run.task)
-        self._end(vm, run, "failed" if failed else "done")
+        self._end_run(vm, run, "failed" if failed else "done")
 
-    def _end(self, vm: Vm, run: Run, how: str) -> None:
+    def _end_run(self, vm: Vm, run: Run, outcome: str) -> None:
         if vm.runs.get((run.task, run.number)) is not run or not vm.up:
             return
         if run.timer is not None:
@@ -327,22 +335,22 @@
         del vm.runs[run.task, run.number]
         vm.barred[run.task] = max(vm.barred[run.task], run.number)
         now = asyncio.get_running_loop().time()
-        if how in ("done", "failed"):
-            vm.open_ends[vm.next_end] = OpenEnd(run.task, how, now, vm.lapses)
+        if outcome in ("done", "failed"):
+            vm.open_ends[vm.next_end] = OpenEnd(run.task, outcome, now, vm.lapses)
         if vm.next_end > vm.acked_end:
-            saved = run.saved(now, True) if how == "stopped" else ""
-            vm.ends.append(EndReport(vm.next_end, run.task, run.number, how, saved))
+            saved = run.saved(now, True) if outcome == "stopped" else ""
+            vm.ends.append(EndReport(vm.next_end, run.task, run.number, outcome, saved))
         else:
-            # Acknowledged beforehand, which counts all the same.
-            self._note(vm, vm.next_end)
+            # The sequence number was acknowledged in advance, which counts as acknowledgement.
+            self._acknowledge(vm, vm.next_end)
         vm.next_end += 1
         vm.news.set()
-        if run.gang and how not in ("done", "broken"):
-            for other_vm, other in self._members(run):
-                self._end(other_vm, other, "broken")
+        if run.gang and outcome not in ("done", "broken"):
+            for other_vm, other in self._gang_members(run):
+                self._end_run(other_vm, other, "broken")
 
     def stop(self, vm: Vm, task: str, number: int, fence: int) -> CallError | None:
-        """Stop a run and those before it, and let none of them start any more."""
+        """Stop a run and all earlier ones of its task, and refuse their starts from now on."""
         if not vm.up:
             return CallError.NO_ANSWER
         if fence < vm.fence:
@@ -351,25 +359,27 @@
         for run in vm.runs.values():
             if run.task == task and run.number <= number and not run.stopping:
                 run.stopping = True
-                asyncio.get_running_loop().call_later(STOP_TIME, self._end, vm, run, "stopped")
+                asyncio.get_running_loop().call_later(
+                    STOP_TIME_S, self._end_run, vm, run, "stopped"
+                )
         vm.barred[task] = max(vm.barred[task], number)
         return None
 
     # -- Leases ------------------------------------------------------------------------------
 
-    def _extend(self, vm: Vm, until_ms: float, now: float) -> None:
+    def _extend_lease(self, vm: Vm, until_ms: float, now: float) -> None:
         clock = vm.clock_ms(now)
         vm.until_ms = max(vm.until_ms, min(until_ms, clock + LEASE * 1000.0))
         if vm.lapse is not None:
             vm.lapse.cancel()
         left = max(0.0, vm.until_ms - clock) / 1000.0 / vm.clock_rate
         loop = asyncio.get_running_loop()
-        vm.lapse = loop.call_later(left, self._lapsed, vm)
+        vm.lapse = loop.call_later(left, self._expire_lease, vm)
 
-    def _lapsed(self, vm: Vm) -> None:
+    def _expire_lease(self, vm: Vm) -> None:
         vm.lapses += 1
         for run in list(vm.runs.values()):
-            self._end(vm, run, "lapsed")
+            self._end_run(vm, run, "lapsed")
 
     def hold(self, vm: Vm, call: HoldCall) -> CallError | None:
         now = asyncio.get_running_loop().time()
@@ -379,27 +389,27 @@
             return CallError.FENCED
         vm.fence = call.fence
         if call.until_ms:
-            self._extend(vm, call.until_ms, now)
+            self._extend_lease(vm, call.until_ms, now)
         for end in vm.ends:
             if end.number <= call.acked_completion:
-                self._note(vm, end.number)
+                self._acknowledge(vm, end.number)
         vm.acked_end = max(vm.acked_end, call.acked_completion)
         vm.ends = [end for end in vm.ends if end.number > vm.acked_end]
         return None
 
-    def _note(self, vm: Vm, number: int) -> None:
-        """An end stands once it is acknowledged, unless the lease lapsed in between."""
+    def _acknowledge(self, vm: Vm, number: int) -> None:
+        """Record a completion as final on its acknowledgement, unless the lease expired since."""
         end = vm.open_ends.pop(number, None)
         if end is None or end.lapses != vm.lapses:
             return
-        if end.how == "failed":
-            self._note_failure(end)
+        if end.outcome == "failed":
+            self._acknowledge_failure(end)
             return
         self.noted.add(end.task)
         if any(start > end.at for start in self.starts[end.task]):
             self.violations.append(f"started again after an end that was noted: {end.task}")
 
-    def _note_failure(self, end: OpenEnd) -> None:
+    def _acknowledge_failure(self, end: OpenEnd) -> None:
         ended = self.noted_failures.setdefault(end.task, [])
         ended.append(end.at)
         ended.sort()
