--- a/tests/emulator/store.py
+++ b/tests/emulator/store.py
@@ -1,4 +1,4 @@
-"""The emulated store: keyed topics, fenced producers, and the ways in which it fails."""
+"""The emulated store: keyed topics, fenced producers, and its possible faults."""
 
 import asyncio
 import contextlib
@@ -33,14 +33,14 @@
 RECORD_BYTES = 262_144
 CALL_BYTES = 2_097_152
 LENGTH_BYTES = 4
-REMEMBERED = 5
+REMEMBERED_BATCHES = 5
 LAST_KEY = "\U0010ffff"
-"""Follows all keys."""
-LONGEST_WAIT = 2.0
-"""Seconds; with more to do first, an append is refused."""
+"""Sorts after all keys."""
+MAX_QUEUE_S = 2.0
+"""Seconds of queued work beyond which an append is refused."""
 
 
-def _size(record: Record) -> int:
+def _record_size(record: Record) -> int:
     return 1 + len(record.key.encode(errors="surrogateescape")) + len(record.value)
 
 
@@ -51,7 +51,7 @@
     newest: dict[str, PageItem] = field(default_factory=dict)
     epoch: int = -1
     sequence: int | None = 0
-    """The number that must come next; ``None`` while an epoch has no records: they begin at any."""
+    """Sequence number required next; ``None`` if the epoch has no records: it begins at any."""
     answers: dict[int, int] = field(default_factory=dict)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
@@ -70,12 +70,12 @@
             self.changed.set()
             self.changed = asyncio.Event()
 
-    def page(self, after: str, most: int) -> Page:
-        """Return the newest records of the keys that follow one, so many at most."""
+    def page(self, after: str, limit: int) -> Page:
+        """Return the newest records of the keys after the given one, up to a number of records."""
         keys = sorted(key for key in self.newest if key > after)
         items: list[PageItem] = []
         size = 0
-        for key in keys[:most]:
+        for key in keys[:limit]:
             if size >= PAGE_BYTES:
                 break
             items.append(self.newest[key])
@@ -83,13 +83,13 @@
         return Page(items, len(items) < len(keys), self.end)
 
     def after(self, offset: int) -> Records | Trimmed:
-        """Return the records from an offset on, as many as fit into an answer; one at least."""
+        """Return the records from an offset on that fit into a reply; at least one."""
         if offset < self.first:
             return Trimmed()
         found: list[Record] = []
         size = 0
         for record in self.records[offset - self.first :]:
-            size += LENGTH_BYTES + _size(record)
+            size += LENGTH_BYTES + _record_size(record)
             if found and size > READ_BYTES:
                 break
             found.append(record)
@@ -97,7 +97,7 @@
 
 
 class StoreState:
-    """What the store keeps, and the faults in force."""
+    """The contents of the store, and its active faults."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -105,45 +105,45 @@
         self.down = False
         self.turned_away: set[str] = set()
         self.refusing = 0.0
-        """Share of calls that it refuses at once."""
+        """Share of the calls that are refused at once."""
         self.resets = False
-        """Whether a refusal ends the connection, so that its caller can't tell what was done."""
+        """Whether a refusal resets the connection, so that the caller doesn't know the outcome."""
         self.blind: set[str] = set()
-        """Members that hear of no new configuration, though the store answers them."""
+        """Members that get no new configuration, though the store answers their other calls."""
         self.unread: dict[str, str] = {}
-        """Key of the jobs' topic from which on members get no answer to their reads of it."""
+        """Key of the jobs topic after which reads get no reply, by member."""
         self.unlisted: set[str] = set()
-        """Members that get no answer to their reads of the leaders' topic."""
+        """Members that get no reply to their reads of the leader topic."""
         self.conflicts = 0
-        """Appends that were refused because their topic had moved on."""
+        """Number of appends refused because the topic's end offset was another."""
         self.latency = 0.004
         self.share_there = (0.8, 1.0)
-        """Least and most share of that time after which a call is carried out."""
+        """Range of the share of the latency that passes before a call is executed."""
         self.page = PAGE
-        """Records of one page of the newest."""
+        """Number of records on one page of ``newest``."""
         self.append_time = 0.0
-        """Seconds that one append takes; appends of one topic are carried out in turn."""
+        """Seconds that one append takes; the appends to a topic are executed one at a time."""
         self._free_at: dict[Topic, float] = {}
         self.turns = 0
-        """Appends that arrived while they take time, with those that are sent again."""
+        """Number of appends queued while ``append_time`` is set, including repeated ones."""
         self.lost = 0.0
         self.late = False
         self.appends = 0
         self.claims: list[int] = []
-        """Epochs in the order in which they were claimed."""
+        """Claimed epochs, in the order of their claims."""
 
     def refuses(self) -> bool:
         """Draw whether a call is refused at once."""
         return self.refusing > 0.0 and self.rng.random() < self.refusing
 
     def turn(self, topic: Topic, now: float) -> float:
-        """Return when an append that arrives now is carried out."""
+        """Queue an append that arrives now, and return the time of its execution."""
         self.turns += 1
         self._free_at[topic] = max(now, self._free_at.get(topic, now)) + self.append_time
         return self._free_at[topic]
 
     def backlog(self, topic: Topic, now: float) -> float:
-        """Return the seconds for which an append that arrives now has to wait."""
+        """Return the seconds that an append arriving now would wait in the queue."""
         return max(0.0, self._free_at.get(topic, now) - now)
 
     def forget_history(self) -> None:
@@ -154,54 +154,57 @@
     def append(
         self, topic: Topic, records: list[Record], producer: Producer | None, at: int | None
     ) -> AppendResult:
-        sizes = [_size(record) for record in records]
+        sizes = [_record_size(record) for record in records]
         if (
             sum(sizes) + LENGTH_BYTES * len(sizes) > CALL_BYTES
             or max(sizes, default=0) > RECORD_BYTES
         ):
             return Unavailable("status 400", certain=True)
-        kept = self.topics[topic]
+        stored = self.topics[topic]
         if producer is not None:
-            answer = self._check(kept, producer, bool(records))
+            answer = self._check_sequence(stored, producer, bool(records))
             if answer is not None:
                 return answer
-        if at is not None and at != kept.end:
+        if at is not None and at != stored.end:
             self.conflicts += 1
-            return Conflict(kept.end)
+            return Conflict(stored.end)
         if producer is not None:
-            if producer.epoch > kept.epoch:
-                kept.epoch = producer.epoch
-                kept.sequence = None
-                kept.answers = {}
+            if producer.epoch > stored.epoch:
+                stored.epoch = producer.epoch
+                stored.sequence = None
+                stored.answers = {}
             if records:
-                kept.sequence = producer.sequence + 1
-                kept.answers[producer.sequence] = kept.end + len(records)
-                kept.answers.pop(producer.sequence - REMEMBERED, None)
-        kept.add(records)
+                stored.sequence = producer.sequence + 1
+                stored.answers[producer.sequence] = stored.end + len(records)
+                stored.answers.pop(producer.sequence - REMEMBERED_BATCHES, None)
+        stored.add(records)
         if topic is Topic.LEADER:
             self.claims += [msgspec.msgpack.decode(record.value)["epoch"] for record in records]
         self.appends += 1
-        return Appended(kept.end)
+        return Appended(stored.end)
 
     @staticmethod
-    def _check(kept: _Topic, producer: Producer, some: bool) -> AppendResult | None:
-        if producer.epoch < kept.epoch:
-            return Fenced(kept.epoch)
-        if producer.epoch > kept.epoch or not some:
-            # One without records is held against the epoch only.
+    def _check_sequence(
+        stored: _Topic, producer: Producer, has_records: bool
+    ) -> AppendResult | None:
+        if producer.epoch < stored.epoch:
+            return Fenced(stored.epoch)
+        if producer.epoch > stored.epoch or not has_records:
+            # An append without records is only checked against the epoch.
             return None
-        if kept.sequence is None or producer.sequence == kept.sequence:
+        if stored.sequence is None or producer.sequence == stored.sequence:
             return None
-        if producer.sequence in kept.answers:
-            return Appended(kept.answers[producer.sequence])
-        return WrongSequence(kept.sequence)
+        if producer.sequence in stored.answers:
+            return Appended(stored.answers[producer.sequence])
+        return WrongSequence(stored.sequence)
 
 
 class EmulatedStore:
     """The store as one member sees it.
 
-    An append that has been sent is carried out whatever becomes of its caller: only its answer is
-    awaited for some seconds. Those on different connections may overtake one another.
+    An append that has been sent is executed even if its caller is cancelled or times out: the
+    time-out limits the wait for the reply only. Appends of one member may overtake one another, as
+    they use different connections.
     """
 
     def __init__(self, state: StoreState, member: str) -> None:
@@ -218,118 +221,127 @@
     ) -> AppendResult:
         loop = asyncio.get_running_loop()
         answer: asyncio.Future[AppendResult] = loop.create_future()
-        there, back = self._travel()
-        carry_out = partial(self._state.append, topic, records, producer, at)
-        loop.call_later(there, self._arrived, topic, carry_out, back, answer, context=outside())
+        outbound, inbound = self._draw_travel_times()
+        execute = partial(self._state.append, topic, records, producer, at)
+        loop.call_later(
+            outbound, self._execute_arrived, topic, execute, inbound, answer, context=outside()
+        )
         try:
             async with asyncio.timeout(timeout):
                 return await answer
         except TimeoutError:
             return Unavailable("no answer")
 
-    def _arrived(
+    def _execute_arrived(
         self,
         topic: Topic,
-        carry_out: Callable[[], AppendResult],
-        back: float,
+        execute: Callable[[], AppendResult],
+        inbound: float,
         answer: "asyncio.Future[AppendResult]",
     ) -> None:
-        """Carry an append out, after those before it and with or without an answer."""
+        """Execute an append that has arrived, after those queued before it; replies may be lost."""
         state = self._state
         loop = asyncio.get_running_loop()
-        if self._away():
+        if self._is_unreachable():
             return
         if state.refuses():
-            loop.call_later(back, self._answer, answer, self._refusal())
+            loop.call_later(inbound, self._reply, answer, self._refusal_error())
             return
         if state.lost and state.rng.random() < state.lost:
             delay = state.rng.uniform(1.0, 6.0) if state.late else 0.0
-            loop.call_later(delay, carry_out)
+            loop.call_later(delay, execute)
             return
 
-        def take_turn() -> None:
-            loop.call_later(back, self._answer, answer, carry_out())
+        def execute_and_reply() -> None:
+            loop.call_later(inbound, self._reply, answer, execute())
 
         if not state.append_time:
-            take_turn()
-        elif state.backlog(topic, loop.time()) > LONGEST_WAIT:
+            execute_and_reply()
+        elif state.backlog(topic, loop.time()) > MAX_QUEUE_S:
             refusal = Unavailable("status 503", certain=True)
-            loop.call_later(back, self._answer, answer, refusal)
+            loop.call_later(inbound, self._reply, answer, refusal)
         else:
-            loop.call_at(state.turn(topic, loop.time()), take_turn)
+            loop.call_at(state.turn(topic, loop.time()), execute_and_reply)
 
-    def _refusal(self) -> Unavailable:
+    def _refusal_error(self) -> Unavailable:
         if self._state.resets:
             return Unavailable("the connection was reset")
         return Unavailable("status 503", certain=True)
 
-    def _answer(self, answer: "asyncio.Future[AppendResult]", result: AppendResult) -> None:
-        if not answer.done() and not self._away():
+    def _reply(self, answer: "asyncio.Future[AppendResult]", result: AppendResult) -> None:
+        if not answer.done() and not self._is_unreachable():
             answer.set_result(result)
 
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
-        if self._unread(topic, after):
+        if self._hides_read(topic, after):
             await asyncio.sleep(timeout)
             return Unavailable("no answer")
-        back = await self._reach(timeout)
-        if back is None or self._blind_to(topic):
+        inbound = await self._travel_to_store(timeout)
+        if inbound is None or self._hides_configuration(topic):
             return Unavailable("no answer")
         if self._state.refuses():
-            return self._refusal()
+            return self._refusal_error()
         page = self._state.topics[topic].page(after, self._state.page)
-        await asyncio.sleep(back)
+        await asyncio.sleep(inbound)
         return page
 
     async def read(
         self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
     ) -> ReadResult:
-        if self._unread(topic, LAST_KEY):
+        if self._hides_read(topic, LAST_KEY):
             await asyncio.sleep(wait + 0.8)
             return Unavailable("no answer")
-        back = await self._reach(wait + 0.8)
-        if back is None:
+        inbound = await self._travel_to_store(wait + 0.8)
+        if inbound is None:
             return Unavailable("no answer")
         if self._state.refuses():
-            return self._refusal()
-        kept = self._state.topics[topic]
-        if offset >= kept.end:
+            return self._refusal_error()
+        stored = self._state.topics[topic]
+        if offset >= stored.end:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(kept.changed.wait(), wait)
-        if self._away() or self._blind_to(topic) or self._unlisted(topic):
+                await asyncio.wait_for(stored.changed.wait(), wait)
+        if (
+            self._is_unreachable()
+            or self._hides_configuration(topic)
+            or self._hides_leader_topic(topic)
+        ):
             return Unavailable("the connection was lost")
-        found = kept.after(offset)
-        await asyncio.sleep(back)
+        found = stored.after(offset)
+        await asyncio.sleep(inbound)
         return found
 
-    def _blind_to(self, topic: Topic) -> bool:
+    def _hides_configuration(self, topic: Topic) -> bool:
         return topic is Topic.CONFIGURATION and self._member in self._state.blind
 
-    def _unlisted(self, topic: Topic) -> bool:
+    def _hides_leader_topic(self, topic: Topic) -> bool:
         return topic is Topic.LEADER and self._member in self._state.unlisted
 
-    def _unread(self, topic: Topic, after: str) -> bool:
-        if self._unlisted(topic):
+    def _hides_read(self, topic: Topic, after: str) -> bool:
+        if self._hides_leader_topic(topic):
             return True
         first = self._state.unread.get(self._member)
         return topic is Topic.JOBS and first is not None and after >= first
 
-    def _away(self) -> bool:
+    def _is_unreachable(self) -> bool:
         return self._state.down or self._member in self._state.turned_away
 
-    def _travel(self) -> tuple[float, float]:
-        """Return the seconds that a call needs to the store, and that its answer needs back."""
+    def _draw_travel_times(self) -> tuple[float, float]:
+        """Draw the seconds that a call takes to the store, and its reply takes back."""
         rng = self._state.rng
         both = self._state.latency * rng.uniform(0.8, 1.2)
-        there = both * rng.uniform(*self._state.share_there)
-        return there, both - there
+        outbound = both * rng.uniform(*self._state.share_there)
+        return outbound, both - outbound
+
+    async def _travel_to_store(self, timeout: float) -> float | None:
+        """Wait for the way to the store.
 
-    async def _reach(self, timeout: float) -> float | None:
-        """Travel to the store; return the seconds back, or ``None`` if no answer comes in time."""
-        there, back = self._travel()
-        if self._away() or there + back > timeout:
+        Return the seconds that the reply takes, or ``None`` if there is no reply in time.
+        """
+        outbound, inbound = self._draw_travel_times()
+        if self._is_unreachable() or outbound + inbound > timeout:
             await asyncio.sleep(timeout)
             return None
-        await asyncio.sleep(there)
-        return None if self._away() else back
+        await asyncio.sleep(outbound)
+        return None if self._is_unreachable() else inbound
--- a/tests/emulator/transit.py
+++ b/tests/emulator/transit.py
@@ -1,7 +1,7 @@
-"""What may happen to calls of the store on their way: held back, lost, turned away, answered late.
+"""Faults on the path to the store: calls delayed, lost or rejected, and replies delayed.
 
-Calls go over different connections, so that what is held back is overtaken by later calls; and
-what is under way is carried out also if its caller waits no longer, or has been killed.
+Calls use different connections, so that a delayed call is overtaken by later ones. A call that
+is under way is executed even if its caller has timed out or has been killed.
 """
 
 import asyncio
@@ -25,29 +25,29 @@
 __all__ = ["DelayedStore", "Transit"]
 
 T = TypeVar("T")
-SHORTEST = 0.01
-"""Seconds that a call is held back at least."""
+MIN_DELAY_S = 0.01
+"""Shortest delay of a call, in seconds."""
 
 
 class Transit:
-    """The faults in force between members and the store; each share is of the calls."""
+    """The active faults between the members and the store; each share is a share of the calls."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self.calm()
 
     def calm(self) -> None:
-        """Undo the faults; what is under way arrives as it would."""
+        """Clear the faults; calls that are under way keep their delays."""
         self.held = 0.0
-        """Share of the appends that are held back."""
+        """Share of the appends that are delayed."""
         self.longest = 6.0
-        """Seconds that a call is held back at most."""
+        """Longest delay of a call, in seconds."""
         self.lost = 0.0
-        """Share of the appends that never arrive."""
+        """Share of the appends that are lost before they arrive."""
         self.late = 0.0
-        """Share of the reads whose answers are held back."""
+        """Share of the reads whose replies are delayed."""
         self.refused = 0.0
-        """Share of all calls that are turned away at once."""
+        """Share of all calls that are rejected at once."""
 
     def loses(self) -> bool:
         return bool(self.lost) and self._rng.random() < self.lost
@@ -56,20 +56,20 @@
         return bool(self.refused) and self._rng.random() < self.refused
 
     def holds(self) -> float | None:
-        """Return for how many seconds an append is held back; ``None`` if it is not."""
-        return self._time() if self.held and self._rng.random() < self.held else None
+        """Draw the delay of an append in seconds; ``None`` if it is not delayed."""
+        return self._draw_delay() if self.held and self._rng.random() < self.held else None
 
     def delays(self) -> float | None:
-        """Return for how many seconds the answer to a read is held back; ``None`` if not."""
-        return self._time() if self.late and self._rng.random() < self.late else None
+        """Draw the delay of a read's reply in seconds; ``None`` if it is not delayed."""
+        return self._draw_delay() if self.late and self._rng.random() < self.late else None
 
-    def _time(self) -> float:
-        """Draw a time of which each order of magnitude is as likely."""
-        return math.exp(self._rng.uniform(math.log(SHORTEST), math.log(self.longest)))
+    def _draw_delay(self) -> float:
+        """Draw a log-uniform delay: each order of magnitude is equally likely."""
+        return math.exp(self._rng.uniform(math.log(MIN_DELAY_S), math.log(self.longest)))
 
 
 class DelayedStore(EmulatedStore):
-    """The store as one member sees it, over connections that may hold calls back."""
+    """The store as one member sees it, over connections that may delay calls."""
 
     def __init__(self, state: StoreState, member: str, transit: Transit) -> None:
         super().__init__(state, member)
@@ -84,26 +84,26 @@
         at: int | None = None,
     ) -> AppendResult:
         if self._transit.refuses():
-            return await self._turn_away()
+            return await self._reject()
         if self._transit.loses():
             await asyncio.sleep(timeout)
             return Unavailable("the call was lost")
         delay = self._transit.holds()
         if delay is None:
             return await super().append(topic, records, timeout, producer, at)
-        if await self._reach(timeout) is None:
+        if await self._travel_to_store(timeout) is None:
             return Unavailable("no answer")
-        answer = self._carry_out_after(delay, topic, records, producer, at)
+        answer = self._execute_after(delay, topic, records, producer, at)
         await asyncio.wait([answer], timeout=timeout)
-        if not answer.done() or self._away():
+        if not answer.done() or self._is_unreachable():
             return Unavailable("no answer in time")
         return answer.result()
 
-    async def _turn_away(self) -> Unavailable:
+    async def _reject(self) -> Unavailable:
         await asyncio.sleep(self._state.latency)
         return Unavailable("turned away", certain=True)
 
-    def _carry_out_after(
+    def _execute_after(
         self,
         delay: float,
         topic: Topic,
@@ -111,7 +111,7 @@
         producer: Producer | None,
         at: int | None,
     ) -> "asyncio.Future[AppendResult]":
-        """Let an append arrive after some seconds, whatever becomes of its caller."""
+        """Execute an append after ``delay`` seconds, even if its caller has ended."""
         loop = asyncio.get_running_loop()
         answer: asyncio.Future[AppendResult] = loop.create_future()
 
@@ -128,22 +128,26 @@
         self, topic: Topic, after: str, timeout: float, progress: Progress | None = None
     ) -> Page | Unavailable:
         if self._transit.refuses():
-            return await self._turn_away()
+            return await self._reject()
         page = await super().newest(topic, after, timeout, progress)
-        return await self._answered(page, timeout)
+        return await self._delayed_reply(page, timeout)
 
     async def read(
         self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
     ) -> ReadResult:
         if self._transit.refuses():
-            return await self._turn_away()
+            return await self._reject()
         result = await super().read(topic, offset, wait, progress)
-        return await self._answered(result, wait + 0.8)
+        return await self._delayed_reply(result, wait + 0.8)
 
-    async def _answered(self, answer: T, timeout: float) -> T | Unavailable:
-        """Give an answer late, as it was true when the store gave it."""
+    async def _delayed_reply(self, answer: T, timeout: float) -> T | Unavailable:
+        """Return a reply after a drawn delay, with its contents as the store sent them."""
         delay = self._transit.delays()
         if delay is None:
             return answer
         await asyncio.sleep(min(delay, timeout))
-        return answer if delay < timeout and not self._away() else Unavailable("no answer in time")
+        return (
+            answer
+            if delay < timeout and not self._is_unreachable()
+            else Unavailable("no answer in time")
+        )
