--- a/tests/emulator/watched.py
+++ b/tests/emulator/watched.py
@@ -1,4 +1,4 @@
-"""Members and VMs whose promises are checked as they are made, without a change of their own."""
+"""Members and VM ports that check invariants on each call, without changing the behaviour."""
 
 import random
 from collections.abc import Callable
@@ -21,27 +21,31 @@
 
 
 def watch_leader(leader: Leader, watch: Watch) -> None:
-    """Have a leader's load, its appends and what it takes for durable checked."""
+    """Wrap a leader's load, its appends and its handling of durable batches with checks."""
     committer, scheduler, journal = leader.committer, leader.scheduler, leader.scheduler.journal
-    append, load, durable = committer.append, scheduler.load, journal.durable
+    original_append, original_load, original_durable = (
+        committer.append,
+        scheduler.load,
+        journal.durable,
+    )
     epoch = leader.epoch
-    sent = 0
+    next_sequence = 0
 
     async def checked_append(records: list[Record]) -> None:
-        nonlocal sent
-        sequence = sent
-        sent += bool(records)
-        await append(records)
+        nonlocal next_sequence
+        sequence = next_sequence
+        next_sequence += bool(records)
+        await original_append(records)
         if records:
             watch.appended(epoch, sequence, records)
 
     def checked_load(records: list[Record]) -> None:
         watch.loaded(epoch, records)
-        load(records)
+        original_load(records)
 
     def checked_durable(batch: Batch) -> None:
         watch.durable(epoch, batch.records)
-        durable(batch)
+        original_durable(batch)
 
     committer.append = checked_append
     scheduler.load = checked_load
@@ -49,7 +53,7 @@
 
 
 class WatchedMember(Member):
-    """A member whose leaderships and answers are checked."""
+    """A member whose terms as leader and whose replies to callers are checked."""
 
     def __init__(
         self,
@@ -59,18 +63,18 @@
         rng: random.Random,
         watch: Watch,
     ) -> None:
-        self._watched_by = watch
+        self._checker = watch
         super().__init__(settings, ports, network, rng)
 
     @property
     def leader(self) -> Leader | None:
-        return self._watched_leader
+        return self._checked_leader
 
     @leader.setter
     def leader(self, leader: Leader | None) -> None:
-        self._watched_leader = leader
+        self._checked_leader = leader
         if leader is not None:
-            watch_leader(leader, self._watched_by)
+            watch_leader(leader, self._checker)
 
     async def serve(
         self, call: CallerCall, timeout: float, digest: bytes | None = None
@@ -78,14 +82,14 @@
         reply = await super().serve(call, timeout, digest)
         name = call.path.rpartition("/")[2]
         if reply.outcome is Outcome.DONE and call.operation is Operation.SUBMIT:
-            self._watched_by.accepted(self._link.epoch, name)
+            self._checker.accepted(self._link.epoch, name)
         elif reply.outcome is Outcome.DONE and name:
-            self._watched_by.shown(self._link.epoch, name, reply.state)
+            self._checker.shown(self._link.epoch, name, reply.state)
         return reply
 
 
 class WatchedVms(EmulatedVms):
-    """The VMs, whose orders and acknowledgements are checked as they are sent."""
+    """The VMs as one member sees them; start requests and acknowledgements are checked."""
 
     def __init__(
         self, cell: Cell, watch: Watch, parted: Callable[[str], bool] = lambda vm: False
--- a/tests/jobs/test_watch.py
+++ b/tests/jobs/test_watch.py
@@ -1,4 +1,4 @@
-"""Each check of the emulated system's watch fires on what it is there for, and else on nothing."""
+"""Each invariant check of the emulated system reports its violation, and nothing else."""
 
 import asyncio
 import random
@@ -17,14 +17,14 @@
 
 ACCEPTED = Record("j/a", b"job")
 OTHER = Record("j/b", b"job")
-IN_USE = Record("w/vm", b"vm")
+VM_RECORD = Record("w/vm", b"vm")
 
 
 def _progress(progress: Progress) -> Record:
     return Record("p/a", encode(progress))
 
 
-ENDED = _progress(Progress(int(JobState.SUCCEEDED)))
+FINISHED = _progress(Progress(int(JobState.SUCCEEDED)))
 
 
 class _Rig:
@@ -40,16 +40,16 @@
     def append(self, records: list[Record], epoch: int, sequence: int) -> None:
         self.store.append(Topic.JOBS, records, Producer("leader", epoch, sequence), None)
 
-    def claim(self, epoch: int) -> None:
+    def append_claim(self, epoch: int) -> None:
         value = b"\x81\xa5epoch" + bytes([epoch])
         self.store.append(Topic.LEADER, [Record("leader", value)], None, None)
 
-    def only(self, *parts: str) -> None:
-        """Make sure that there is one violation and that it names some things."""
+    def assert_one_violation(self, *parts: str) -> None:
+        """Assert that there is exactly one violation, and that it contains the given texts."""
         assert len(self.watch.violations) == 1
         assert all(part in self.watch.violations[0] for part in parts)
 
-    def none(self) -> None:
+    def assert_no_violations(self) -> None:
         assert self.watch.violations == []
 
 
@@ -59,43 +59,43 @@
     rig.watch.appended(1, 1, [OTHER])
     rig.watch.durable(1, [OTHER])
     rig.watch.durable(1, [])
-    rig.none()
+    rig.assert_no_violations()
 
 
 def test_a_batch_that_is_not_in_the_store() -> None:
     rig = _Rig([ACCEPTED])
     rig.watch.appended(1, 1, [OTHER])
-    rig.only("epoch 1, sequence 1", "not in the store", "j/b")
+    rig.assert_one_violation("epoch 1, sequence 1", "not in the store", "j/b")
 
 
 def test_a_batch_of_which_the_store_has_some_records() -> None:
     rig = _Rig([ACCEPTED])
     rig.watch.appended(1, 0, [ACCEPTED, OTHER])
-    rig.only("epoch 1, sequence 0", "not in the store")
+    rig.assert_one_violation("epoch 1, sequence 0", "not in the store")
 
 
 def test_a_batch_whose_records_have_another_order() -> None:
     rig = _Rig([OTHER, ACCEPTED])
     rig.watch.appended(1, 0, [ACCEPTED, OTHER])
-    rig.only("epoch 1, sequence 0", "not in the store")
+    rig.assert_one_violation("epoch 1, sequence 0", "not in the store")
 
 
 def test_a_batch_that_another_epoch_has_appended() -> None:
     rig = _Rig([ACCEPTED])
     rig.watch.appended(2, 0, [ACCEPTED])
-    rig.only("epoch 2, sequence 0", "not in the store")
+    rig.assert_one_violation("epoch 2, sequence 0", "not in the store")
 
 
 def test_a_batch_that_is_taken_for_durable_and_is_not_in_the_store() -> None:
     rig = _Rig([ACCEPTED])
     rig.watch.durable(1, [OTHER])
-    rig.only("epoch 1", "counted as durable", "j/b")
+    rig.assert_one_violation("epoch 1", "counted as durable", "j/b")
 
 
 def test_an_epoch_that_begins_with_a_later_batch() -> None:
     rig = _Rig()
     rig.append([OTHER], 1, 1)
-    rig.only("epoch 1, sequence 1", "wanted batch 0")
+    rig.assert_one_violation("epoch 1, sequence 1", "wanted batch 0")
 
 
 def test_a_batch_before_which_one_is_missing() -> None:
@@ -103,14 +103,14 @@
     rig.append([OTHER], 1, 1)
     rig.watch.violations.clear()
     rig.watch.appended(1, 1, [OTHER])
-    rig.only("epoch 1, sequence 1", "before batches [0]")
+    rig.assert_one_violation("epoch 1, sequence 1", "before batches [0]")
 
 
 def test_a_load_that_equals_the_store() -> None:
     rig = _Rig([ACCEPTED], [OTHER], [Record("j/b")])
     rig.append([], 2, 0)
     rig.watch.loaded(2, [ACCEPTED])
-    rig.none()
+    rig.assert_no_violations()
 
 
 @pytest.mark.parametrize(
@@ -122,39 +122,39 @@
     rig = _Rig([ACCEPTED], [OTHER], [Record("j/b")])
     rig.append([], 2, 0)
     rig.watch.loaded(2, loaded)
-    rig.only("epoch 2", "loaded")
+    rig.assert_one_violation("epoch 2", "loaded")
 
 
 def test_a_load_before_the_epoch_is_set() -> None:
     rig = _Rig([ACCEPTED])
     rig.watch.loaded(2, [ACCEPTED])
-    rig.only("epoch 2", "before the epoch was set")
+    rig.assert_one_violation("epoch 2", "before the epoch was set")
 
 
 def test_a_load_of_a_leader_that_is_fenced_is_not_judged() -> None:
     rig = _Rig([ACCEPTED])
     rig.append([OTHER], 2, 0)
     rig.watch.loaded(1, [ACCEPTED, OTHER])
-    rig.none()
+    rig.assert_no_violations()
 
 
 @pytest.mark.parametrize("outcome", ["done", "failed"])
 def test_an_acknowledged_end_that_is_not_in_the_store(outcome: str) -> None:
     rig = _Rig([ACCEPTED], [_progress(Progress(1, {"0.0": StepProgress("2", {2: (1,)})}))])
     rig.watch.acknowledged(1, "vm", EndReport(7, "a.0.0.0", 1, outcome))
-    rig.only("epoch 1", "end 7 of vm", "a.0.0.0")
+    rig.assert_one_violation("epoch 1", "completion 7 of vm", "a.0.0.0")
 
 
 def test_an_acknowledged_failure_of_another_run() -> None:
     rig = _Rig([ACCEPTED], [_progress(Progress(1, {"0.0": StepProgress("", {0: (1,)})}))])
     rig.watch.acknowledged(1, "vm", EndReport(7, "a.0.0.0", 2, "failed"))
-    rig.only("epoch 1", "end 7 of vm", "run 2")
+    rig.assert_one_violation("epoch 1", "completion 7 of vm", "run 2")
 
 
 def test_an_acknowledged_end_of_a_job_without_progress() -> None:
     rig = _Rig([ACCEPTED])
     rig.watch.acknowledged(1, "vm", EndReport(1, "a.0.0.0", 1, "done"))
-    rig.only("epoch 1", "end 1 of vm")
+    rig.assert_one_violation("epoch 1", "completion 1 of vm")
 
 
 def test_acknowledged_ends_that_the_store_covers() -> None:
@@ -163,84 +163,93 @@
     rig.watch.acknowledged(1, "vm", EndReport(2, "a.0.0.1", 1, "done"))
     rig.watch.acknowledged(1, "vm", EndReport(3, "a.0.0.1", 1, "failed"))
     rig.watch.acknowledged(1, "vm", EndReport(4, "a.0.0.2", 1, "lapsed"))
-    rig.append([ENDED, Record("j/a")], 1, 2)
+    rig.append([FINISHED, Record("j/a")], 1, 2)
     rig.append([Record("p/a")], 1, 3)
     rig.watch.acknowledged(1, "vm", EndReport(5, "a.0.0.3", 1, "done"))
-    rig.none()
+    rig.assert_no_violations()
 
 
 def test_a_job_that_is_told_as_accepted() -> None:
     rig = _Rig([ACCEPTED])
     rig.watch.accepted(1, "a")
-    rig.append([ENDED, Record("j/a")], 1, 1)
+    rig.append([FINISHED, Record("j/a")], 1, 1)
     rig.watch.accepted(1, "a")
-    rig.none()
+    rig.assert_no_violations()
     rig.watch.accepted(1, "b")
-    rig.only("epoch 1", "told as accepted", "b")
+    rig.assert_one_violation("epoch 1", "reported as accepted", "b")
 
 
 def test_an_end_that_is_shown() -> None:
     rig = _Rig([ACCEPTED])
     rig.watch.shown(1, "a", "running")
-    rig.none()
+    rig.assert_no_violations()
     rig.watch.shown(1, "a", "succeeded")
-    rig.only("epoch 1", "shown as succeeded")
-    rig.append([ENDED], 1, 1)
+    rig.assert_one_violation("epoch 1", "reported in state succeeded")
+    rig.append([FINISHED], 1, 1)
     rig.watch.shown(1, "a", "succeeded")
-    rig.only("epoch 1", "shown as succeeded")
+    rig.assert_one_violation("epoch 1", "reported in state succeeded")
 
 
 def test_an_order_of_a_job_that_is_not_in_the_store() -> None:
-    rig = _Rig([ACCEPTED, IN_USE])
+    rig = _Rig([ACCEPTED, VM_RECORD])
     rig.watch.ordered(1, "vm", "a.0.0.0")
-    rig.none()
+    rig.assert_no_violations()
     rig.watch.ordered(1, "vm", "b.0.0.0")
-    rig.only("epoch 1", "its job is not in the store", "b.0.0.0")
+    rig.assert_one_violation("epoch 1", "its job is not in the store", "b.0.0.0")
 
 
 def test_an_order_on_a_vm_whose_use_is_not_in_the_store() -> None:
-    rig = _Rig([ACCEPTED, IN_USE])
+    rig = _Rig([ACCEPTED, VM_RECORD])
     rig.watch.ordered(1, "other", "a.0.0.0", up=False)
-    rig.none()
+    rig.assert_no_violations()
     rig.watch.ordered(1, "other", "a.0.0.0")
-    rig.only("epoch 1", "ordered on other")
+    rig.assert_one_violation("epoch 1", "start requested on other")
 
 
 def test_claims_whose_epochs_do_not_rise() -> None:
     rig = _Rig()
-    rig.claim(1)
-    rig.claim(2)
-    rig.none()
-    rig.claim(2)
-    rig.only("epoch 2", "claimed after epoch 2")
+    rig.append_claim(1)
+    rig.append_claim(2)
+    rig.assert_no_violations()
+    rig.append_claim(2)
+    rig.assert_one_violation("epoch 2", "claimed after epoch 2")
 
 
 def test_a_store_that_forgets_what_it_has_taken_is_seen_by_every_check_in_a_system(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The checks are in force in a system: they miss what a store takes without keeping it."""
-    seen: list[str] = []
-    judge = System.faults
-    keep = StoreState.append
+    """Guards against checks that aren't wired into a system.
+
+    The store appends batches that the checker never sees, so that every check has to fail.
+    """
+    violations: list[str] = []
+    original_faults = System.faults
+    original_append = StoreState.append
 
     async def faults(system: System) -> list[str]:
-        seen.extend(await judge(system))
+        violations.extend(await original_faults(system))
         return []
 
-    def forget(state: WatchedState, topic, records, producer, at):  # type: ignore[no-untyped-def]
-        result = keep(state, topic, records, producer, at)
-        if topic is Topic.JOBS and producer is not None and producer.epoch not in begun:
-            begun.add(producer.epoch)
+    def append_unchecked(state: WatchedState, topic, records, producer, at):  # type: ignore[no-untyped-def]
+        result = original_append(state, topic, records, producer, at)
+        if topic is Topic.JOBS and producer is not None and producer.epoch not in known_epochs:
+            known_epochs.add(producer.epoch)
             state._watch.began(producer.epoch)
         return result
 
-    begun: set[int] = set()
+    known_epochs: set[int] = set()
     monkeypatch.setattr(System, "faults", faults)
-    monkeypatch.setattr(WatchedState, "append", forget)
+    monkeypatch.setattr(WatchedState, "append", append_unchecked)
     run(play(1, []))
-    for what in ("appended", "counted as durable", "acknowledged", "ordered", "told as accepted"):
-        assert any(what in violation for violation in seen), what
-    assert any("shown as" in violation for violation in seen)
+    for check in (
+        "appended",
+        "counted as durable",
+        "acknowledged",
+        "start requested",
+        "reported as accepted",
+    ):
+        assert any(check in violation for violation in violations), check
+    assert any("reported in state" in violation for violation in violations)
 
 
 def test_loads_are_checked_in_a_system() -> None:
