--- a/tests/emulator/advice.py
+++ b/tests/emulator/advice.py
@@ -1,4 +1,4 @@
-"""Emulated advice: some VMs may run a step, and their tickets hold for a while."""
+"""Emulated advice service: it permits some VMs for a step, with tickets of limited validity."""
 
 import asyncio
 import json
@@ -13,43 +13,43 @@
 from tests.emulator.loop import outside
 
 VALID = 2.0
-DECIDE = 0.005
-EACH = 0.0001
+DECISION_TIME_S = 0.005
+DECISION_TIME_PER_VM_S = 0.0001
 WAITING = 32
-"""Calls of one member that wait for their turn at most."""
-BARRED = 3
-"""Of so many VMs one may not run a step."""
+"""Largest number of calls of one member that wait in the queue."""
+EXCLUDED_ONE_IN = 3
+"""One of this many VMs may not run a step."""
 
 
 def may_run(step: str, vm: str) -> bool:
-    """Tell whether a VM, by its machine's number, may run a step; this never changes."""
+    """Return whether a VM may run a step, which depends on its machine's number only."""
     machine = vm.partition("-")[0]
-    number = int("".join(sign for sign in machine if sign.isdigit()) or 0)
-    return (number + zlib.crc32(step.encode())) % BARRED != 0
+    number = int("".join(character for character in machine if character.isdigit()) or 0)
+    return (number + zlib.crc32(step.encode())) % EXCLUDED_ONE_IN != 0
 
 
 def ticket(step: str, vm: str, until: float) -> str:
-    """Return what lets a step's tasks start at a life of a VM until some time."""
+    """Return the ticket for starts of a step's tasks on an incarnation of a VM, up to a time."""
     return f"{step}|{vm}|{until}"
 
 
 def good_ticket(action: StartRun, now: float) -> bool:
-    """Tell whether a start's ticket is of its step and this life of the VM, and holds yet."""
+    """Return whether a start's ticket is for its step and this incarnation, and still valid."""
     step, _, rest = action.ticket.partition("|")
     vm, _, until = rest.partition("|")
-    own = step == action.task.rpartition(".")[0] and vm == action.vm
-    return own and float(until or 0) >= now
+    is_for_start = step == action.task.rpartition(".")[0] and vm == action.vm
+    return is_for_start and float(until or 0) >= now
 
 
 class EmulatedAdvice:
-    """The service as one member sees it: it works on one of the member's calls at a time.
+    """The service as one member sees it: it processes the member's calls one at a time.
 
-    ``life_of`` tells which life of a VM a ticket is for.
+    ``life_of`` returns the incarnation of a VM that a ticket is for.
     """
 
     def __init__(self, life_of: Callable[[str], str] = lambda vm: vm) -> None:
         self._life_of = life_of
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
         self._waiting = 0
 
     async def advise(self, step: str, vms: Sequence[str], timeout: float) -> AdviceReply:
@@ -57,28 +57,28 @@
             return AdviceReply(False)
         self._waiting += 1
         loop = asyncio.get_running_loop()
-        # It works on a call also when its caller has given it up.
+        # The service completes a call even if its caller has timed out.
         work = loop.create_task(self._decide(step, tuple(vms)), context=outside())
-        work.add_done_callback(self._left)
+        work.add_done_callback(self._on_done)
         try:
             async with asyncio.timeout(timeout):
                 return await asyncio.shield(work)
         except TimeoutError:
             return AdviceReply(False)
 
-    def _left(self, work: "asyncio.Task[AdviceReply]") -> None:
+    def _on_done(self, work: "asyncio.Task[AdviceReply]") -> None:
         self._waiting -= 1
 
     async def _decide(self, step: str, vms: tuple[str, ...]) -> AdviceReply:
-        async with self._turn:
-            await asyncio.sleep(DECIDE + EACH * len(vms))
+        async with self._lock:
+            await asyncio.sleep(DECISION_TIME_S + DECISION_TIME_PER_VM_S * len(vms))
         until = asyncio.get_running_loop().time() + VALID
         good = {vm: ticket(step, self._life_of(vm), until) for vm in vms if may_run(step, vm)}
         return AdviceReply(True, good, VALID * 1000.0)
 
 
 class AdviceNetwork:
-    """Passes a member's calls on to the service, as ``UpstreamPool`` does."""
+    """Forwards a member's calls to the service; takes the place of ``UpstreamPool``."""
 
     def __init__(self, advice: EmulatedAdvice) -> None:
         self._advice = advice
@@ -92,8 +92,8 @@
         timeout: float,
         waits: float = 0.0,
     ) -> Answer:
-        told = json.loads(body)
-        reply = await self._advice.advise(told["step"], told["workers"], timeout)
-        answered = {"good": list(reply.good.items()), "validMs": reply.valid_ms}
+        request = json.loads(body)
+        reply = await self._advice.advise(request["step"], request["workers"], timeout)
+        response = {"good": list(reply.good.items()), "validMs": reply.valid_ms}
         status = 200 if reply.ok else 503
-        return Answer(status, httputil.HTTPHeaders(), json.dumps(answered).encode())
+        return Answer(status, httputil.HTTPHeaders(), json.dumps(response).encode())
--- a/tests/emulator/loop.py
+++ b/tests/emulator/loop.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock jumps to the next timer instead of waiting for it.
+"""An event loop in virtual time: its clock jumps to the next timer instead of waiting for it.
 
-What a member does runs in a context that names it, so that it can be suspended: its callbacks are
-kept while time goes by for all others, and run once it is resumed.
+The code of a member runs in a context that names the member, so that the member can be suspended:
+its callbacks are held while time passes for all others, and run once it is resumed.
 """
 
 import asyncio
@@ -14,46 +14,46 @@
 H = TypeVar("H", bound=asyncio.Handle)
 
 OWNER: ContextVar[str] = ContextVar("OWNER", default="")
-"""Member that the running code is of; empty for the emulation itself."""
+"""Name of the member whose code is running; empty for the emulation itself."""
 
 
-class _JumpingSelector(selectors.DefaultSelector):  # type: ignore[misc, valid-type]
+class _VirtualSelector(selectors.DefaultSelector):  # type: ignore[misc, valid-type]
     def __init__(self) -> None:
         super().__init__()
         self.now = 1_000.0
 
     def select(self, timeout: float | None = None) -> list[object]:
         if timeout is None:
-            raise RuntimeError("nothing is left to wait for")
+            raise RuntimeError("deadlock: nothing is scheduled")
         if timeout > 0:
             self.now += timeout
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs in virtual time, the same way each time."""
+    """An event loop that runs deterministically in virtual time."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualSelector()
+        super().__init__(self._virtual_selector)
         self.held: dict[str, list[Callable[[], None]]] = {}
-        """What suspended members would have run, by member."""
+        """Held callbacks of suspended members, by member."""
         self.errors: list[Exception] = []
-        """What callbacks have raised: nobody waits for them."""
+        """Exceptions raised in callbacks, which no caller awaits."""
 
     def time(self) -> float:
-        return self._jumping.now
+        return self._virtual_selector.now
 
     def spend(self, seconds: float) -> None:
-        """Move the clock on while a callback runs."""
-        self._jumping.now += seconds
+        """Advance the clock while a callback runs."""
+        self._virtual_selector.now += seconds
 
     def call_soon(
         self, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> asyncio.Handle:
         context = context or copy_context()
-        guarded = self._guarded(callback, context)
-        return guarded.tied(super().call_soon(guarded, *args, context=context))
+        owned = self._guard(callback, context)
+        return owned.tied(super().call_soon(owned, *args, context=context))
 
     def call_at(
         self,
@@ -63,26 +63,26 @@
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
         context = context or copy_context()
-        guarded = self._guarded(callback, context)
-        return guarded.tied(super().call_at(when, guarded, *args, context=context))
+        owned = self._guard(callback, context)
+        return owned.tied(super().call_at(when, owned, *args, context=context))
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Keep what a callback has raised, beside its log line."""
+        """Remember an exception of a callback, in addition to logging it."""
         error = context.get("exception")
         if isinstance(error, Exception) and "handle" in context:
             self.errors.append(error)
         super().call_exception_handler(context)
 
-    def _guarded(self, callback: Callable[..., object], context: Context) -> "_Guarded":
-        return _Guarded(self, callback, context)
+    def _guard(self, callback: Callable[..., object], context: Context) -> "_OwnedCallback":
+        return _OwnedCallback(self, callback, context)
 
-    def again(self, guarded: "_Guarded", args: tuple[Any, ...]) -> None:
-        """Run a callback that was kept."""
-        super().call_soon(guarded, *args, context=guarded.context)
+    def again(self, owned: "_OwnedCallback", args: tuple[Any, ...]) -> None:
+        """Schedule a held callback again."""
+        super().call_soon(owned, *args, context=owned.context)
 
 
-class _Guarded:
-    """A callback that is kept while the member whose it is is suspended."""
+class _OwnedCallback:
+    """A callback that is held while the member that owns it is suspended."""
 
     def __init__(self, loop: VirtualLoop, callback: Callable[..., object], context: Context):
         self._loop = loop
@@ -92,7 +92,7 @@
         self._handle: asyncio.Handle | None = None
 
     def tied(self, handle: H) -> H:
-        """Take the handle by which it may be cancelled, also while it is kept."""
+        """Remember the handle, by which the callback may be cancelled while it is held."""
         self._handle = handle
         return handle
 
@@ -112,37 +112,37 @@
 
 
 def outside() -> Context:
-    """Return a context of no member: what is on its way goes on whatever becomes of its sender."""
+    """Return a context that belongs to no member, for work that outlives its sender."""
     context = copy_context()
     context.run(OWNER.set, "")
     return context
 
 
 def suspend(owner: str) -> None:
-    """Run nothing of a member from now on."""
+    """Hold all callbacks of a member from now on."""
     _loop().held.setdefault(owner, [])
 
 
 def resume(owner: str) -> bool:
-    """Go on with a member; tell whether it was suspended."""
-    kept = _loop().held.pop(owner, None)
-    for again in kept or ():
-        again()
-    return kept is not None
+    """Resume a member; return whether it was suspended."""
+    held = _loop().held.pop(owner, None)
+    for reschedule in held or ():
+        reschedule()
+    return held is not None
 
 
 def spend(seconds: float) -> None:
-    """Let the running code take some seconds, in which nothing else runs."""
+    """Simulate running code that blocks the loop for some seconds."""
     _loop().spend(seconds)
 
 
 def run(work: Coroutine[object, object, T]) -> T:
-    """Run a coroutine in virtual time; raises also what callbacks have raised meanwhile."""
+    """Run a coroutine in virtual time, and raise the exceptions of callbacks as well."""
     loop = VirtualLoop()
     try:
         result = loop.run_until_complete(work)
         if loop.errors:
-            raise ExceptionGroup("raised by callbacks", loop.errors)
+            raise ExceptionGroup("exceptions raised in callbacks", loop.errors)
         return result
     finally:
         loop.held.clear()
--- a/tests/emulator/narrow.py
+++ b/tests/emulator/narrow.py
@@ -1,4 +1,4 @@
-"""A member's link that carries so many bytes a second, and the store behind it."""
+"""A member's link to the store with limited bandwidth, and the store behind it."""
 
 import asyncio
 import math
@@ -21,45 +21,45 @@
 
 __all__ = ["BusyStore", "NarrowLink", "NarrowStore", "Reads", "UplinkStore"]
 
-PART = 16_384
-"""Bytes that one answer gets of the link before another has its turn."""
-BASE64 = 4 / 3
+PART_BYTES = 16_384
+"""Bytes of one reply that the link transmits before it switches to another reply."""
+BASE64_EXPANSION = 4 / 3
 
 
 class NarrowLink:
-    """Shares its bytes a second evenly among the answers that are on their way."""
+    """A link that divides its bandwidth evenly among the replies in transit."""
 
     def __init__(self, bytes_per_second: float) -> None:
         self.bytes_per_second = bytes_per_second
         self.carried = 0
         self.silent = False
-        """Whether what is on its way comes no further."""
-        self._turn = asyncio.Lock()
+        """Whether transfers make no progress any more."""
+        self._lock = asyncio.Lock()
 
     async def carry(self, size: int, progress: Progress | None, silence: float) -> bool:
-        """Bring an answer; return whether it came without a pause longer than ``silence``."""
-        for _ in range(max(1, math.ceil(size / PART))):
+        """Transfer a reply; return whether it arrived without a pause longer than ``silence``."""
+        for _ in range(max(1, math.ceil(size / PART_BYTES))):
             try:
                 async with asyncio.timeout(silence):
-                    await self._part()
+                    await self._transfer_part()
             except TimeoutError:
                 return False
             if progress is not None:
-                progress.arrived(PART)
+                progress.arrived(PART_BYTES)
         return True
 
-    async def _part(self) -> None:
+    async def _transfer_part(self) -> None:
         if self.silent:
             await asyncio.Event().wait()
-        async with self._turn:
-            await asyncio.sleep(PART / self.bytes_per_second)
-            self.carried += PART
+        async with self._lock:
+            await asyncio.sleep(PART_BYTES / self.bytes_per_second)
+            self.carried += PART_BYTES
 
 
 class NarrowStore(EmulatedStore):
-    """The store behind a narrow link: what it answers takes its time there.
+    """The store behind a link of limited bandwidth, which delays its replies.
 
-    A reader that follows no progress waits for the whole answer up to its time-out.
+    A reader that passes no ``progress`` waits for the complete reply up to its time-out.
     """
 
     def __init__(self, state: StoreState, member: str, link: NarrowLink) -> None:
@@ -73,20 +73,20 @@
         if isinstance(page, Unavailable):
             return page
         size = sum(len(item.record.key) + len(item.record.value) for item in page.items)
-        came = await self._bring(math.ceil(size * BASE64), progress, timeout)
-        return page if came else Unavailable("no answer in time")
+        delivered = await self._deliver(math.ceil(size * BASE64_EXPANSION), progress, timeout)
+        return page if delivered else Unavailable("no answer in time")
 
     async def read(
         self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
     ) -> ReadResult:
-        found = await super().read(topic, offset, wait)
-        if not isinstance(found, Records):
-            return found
-        size = len(msgspec.msgpack.encode(found.records))
-        came = await self._bring(size, progress, 0.8)
-        return found if came else Unavailable("no answer in time")
-
-    async def _bring(self, size: int, progress: Progress | None, timeout: float) -> bool:
+        result = await super().read(topic, offset, wait)
+        if not isinstance(result, Records):
+            return result
+        size = len(msgspec.msgpack.encode(result.records))
+        delivered = await self._deliver(size, progress, 0.8)
+        return result if delivered else Unavailable("no answer in time")
+
+    async def _deliver(self, size: int, progress: Progress | None, timeout: float) -> bool:
         if progress is not None:
             return await self._link.carry(size, progress, timeout)
         try:
@@ -97,9 +97,9 @@
 
 
 class Reads:
-    """What a store reads in a second, for all members together and in the order in which they ask.
+    """The read throughput of a store, shared by all members: reads are served in order of arrival.
 
-    What it has begun or has to do is done also if nobody waits for it any more.
+    A read that is queued is performed even if its caller has timed out.
     """
 
     def __init__(self, bytes_per_second: float) -> None:
@@ -108,7 +108,7 @@
         self._free_at = 0.0
 
     async def take_turn(self, size: int, seconds: float) -> bool:
-        """Wait until some bytes are read; return whether they are within some seconds."""
+        """Queue a read of ``size`` bytes; return whether it completes within ``seconds``."""
         now = asyncio.get_running_loop().time()
         self.read += size
         self._free_at = max(now, self._free_at) + size / self.bytes_per_second
@@ -117,29 +117,29 @@
 
 
 class BusyStore(NarrowStore):
-    """The store behind a narrow link, which reads so many bytes a second for all."""
+    """The store behind a link of limited bandwidth, with a read throughput shared by all."""
 
     def __init__(self, state: StoreState, member: str, link: NarrowLink, reads: Reads) -> None:
         super().__init__(state, member, link)
         self._reads = reads
-        self._until = 0.0
-        """When the read that is under way is given up if nothing of it has come."""
+        self._read_deadline = 0.0
+        """When the current read times out if none of its reply has arrived."""
 
     async def read(
         self, topic: Topic, offset: int, wait: float, progress: Progress | None = None
     ) -> ReadResult:
-        self._until = asyncio.get_running_loop().time() + wait + 0.8
+        self._read_deadline = asyncio.get_running_loop().time() + wait + 0.8
         return await super().read(topic, offset, wait, progress)
 
-    async def _bring(self, size: int, progress: Progress | None, timeout: float) -> bool:
+    async def _deliver(self, size: int, progress: Progress | None, timeout: float) -> bool:
         now = asyncio.get_running_loop().time()
-        if not await self._reads.take_turn(size, max(timeout, self._until - now)):
+        if not await self._reads.take_turn(size, max(timeout, self._read_deadline - now)):
             return False
-        return await super()._bring(size, progress, timeout)
+        return await super()._deliver(size, progress, timeout)
 
 
 class UplinkStore(EmulatedStore):
-    """The store behind a link on which what is appended takes its time."""
+    """The store behind a link of limited bandwidth, which delays appends."""
 
     def __init__(self, state: StoreState, member: str, link: NarrowLink) -> None:
         super().__init__(state, member)
@@ -153,11 +153,11 @@
         producer: Producer | None = None,
         at: int | None = None,
     ) -> AppendResult:
-        last = asyncio.get_running_loop().time() + timeout
+        deadline = asyncio.get_running_loop().time() + timeout
         try:
             async with asyncio.timeout(timeout):
                 await self._link.carry(call_size(records), None, timeout)
         except TimeoutError:
             return Unavailable("no answer")
-        left = last - asyncio.get_running_loop().time()
+        left = deadline - asyncio.get_running_loop().time()
         return await super().append(topic, records, left, producer, at)
--- a/tests/emulator/network.py
+++ b/tests/emulator/network.py
@@ -1,4 +1,4 @@
-"""Connections between emulated members, with cuts, and with links of some bandwidth."""
+"""The network between emulated members, with partitions and limited bandwidth."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,21 +8,21 @@
 from sablemount.control.messages import Message, Reply
 from sablemount.control.network import CallFailed, Handler, Link
 
-DELAY = 0.0015
+DELAY_S = 0.0015
 
 
 class Pipe:
-    """One direction of a member's link: frames pass it one after the other."""
+    """One direction of a member's network link: it transmits frames one at a time."""
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
-        """Bytes a second."""
+        """Bytes per second."""
         self.bytes = 0
-        """What has been sent into it so far."""
+        """Bytes sent so far."""
         self._free_at = 0.0
 
     def passed_at(self, size: int) -> float:
-        """Take a frame, and return when its last byte has passed."""
+        """Queue a frame, and return the time at which its last byte is transmitted."""
         now = asyncio.get_running_loop().time()
         self.bytes += size
         self._free_at = max(now, self._free_at) + size / self.rate
@@ -30,24 +30,26 @@
 
     @property
     def backlog(self) -> float:
-        """Return the seconds for which a frame that is sent now waits."""
+        """Return the seconds that a frame sent now would wait."""
         return max(0.0, self._free_at - asyncio.get_running_loop().time())
 
 
 class MemoryLink:
-    """One side of a connection."""
+    """One end of a connection."""
 
-    def __init__(self, network: "Wires", here: str, there: str, handler: Handler) -> None:
+    def __init__(
+        self, network: "Wires", local_address: str, remote_address: str, handler: Handler
+    ) -> None:
         self.peer = ""
         self.other: MemoryLink | None = None
         self._network = network
-        self.here = here
-        self.there = there
+        self.local_address = local_address
+        self.remote_address = remote_address
         self._handler = handler
         self._closed = asyncio.Event()
         self.on_closed: Callable[[Link], None] | None = None
         self.mute = False
-        """Whether nothing that this side sends arrives any more, without a word."""
+        """Whether all frames that this end sends are dropped without an error."""
 
     @property
     def closed(self) -> bool:
@@ -63,30 +65,30 @@
         finally:
             ended.cancel()
             if not task.done() and not self._network.limited:
-                # Over a link of some bandwidth an answer comes also if nobody awaits it any more.
+                # With limited bandwidth a reply uses the link even if its caller has timed out.
                 task.cancel()
         if task.done() and not task.cancelled() and task.exception() is None:
             return task.result()
         raise CallFailed("no answer", True, closed=self.closed)
 
     async def _exchange(self, message: Message) -> Reply:
-        await self._travel(message)
+        await self._transmit(message)
         other = self.other
         assert other is not None
         if other.closed:
             self.close()
             await asyncio.Event().wait()
         reply = await other._handler(other, message)
-        await other._travel(reply)
+        await other._transmit(reply)
         return reply
 
-    async def _travel(self, frame: Message | Reply) -> None:
+    async def _transmit(self, frame: Message | Reply) -> None:
         if self._network.limited and not self.closed:
-            await self._network.pass_links(self.here, self.there, frame)
-        await asyncio.sleep(DELAY)
+            await self._network.pass_links(self.local_address, self.remote_address, frame)
+        await asyncio.sleep(DELAY_S)
         if self.mute:
             await asyncio.Event().wait()
-        while self._network.parted(self.here, self.there):
+        while self._network.parted(self.local_address, self.remote_address):
             await asyncio.sleep(0.05)
 
     async def serve(self) -> None:
@@ -99,11 +101,15 @@
         if self.on_closed is not None:
             self.on_closed(self)
         other = self.other
-        if other is not None and not self.mute and not self._network.parted(self.here, self.there):
-            asyncio.get_running_loop().call_later(DELAY, other.close)
+        if (
+            other is not None
+            and not self.mute
+            and not self._network.parted(self.local_address, self.remote_address)
+        ):
+            asyncio.get_running_loop().call_later(DELAY_S, other.close)
 
 
-class _Listening:
+class _Listener:
     def __init__(
         self,
         network: "Wires",
@@ -125,31 +131,33 @@
 
 
 class Wires:
-    """All connections; an address is a member's name."""
+    """All connections; a member's address is its name."""
 
     def __init__(self) -> None:
-        self.listening: dict[str, _Listening] = {}
+        self.listening: dict[str, _Listener] = {}
         self.silent: set[str] = set()
         self.cuts: set[frozenset[str]] = set()
         self.out: dict[str, Pipe] = {}
-        """What members send passes these, if they have links of some bandwidth."""
+        """Uplinks of the members whose bandwidth is limited, by member."""
         self.into: dict[str, Pipe] = {}
-        """The same for what they are sent."""
+        """Downlinks of the members whose bandwidth is limited, by member."""
 
     @property
     def limited(self) -> bool:
-        """Tell whether some member has a link of some bandwidth."""
+        """Whether any member's bandwidth is limited."""
         return bool(self.out)
 
     def limit(self, name: str, rate: float) -> None:
-        """Give a member a link of so many bytes a second in each direction."""
+        """Limit a member's bandwidth to ``rate`` bytes per second in each direction."""
         self.out[name] = Pipe(rate)
         self.into[name] = Pipe(rate)
 
-    async def pass_links(self, here: str, there: str, frame: Message | Reply) -> None:
-        """Wait until a frame has passed its sender's link, and then its receiver's."""
+    async def pass_links(
+        self, local_address: str, remote_address: str, frame: Message | Reply
+    ) -> None:
+        """Wait until a frame has passed its sender's uplink and its receiver's downlink."""
         size = len(msgspec.msgpack.encode(frame))
-        for pipe in (self.out.get(here), self.into.get(there)):
+        for pipe in (self.out.get(local_address), self.into.get(remote_address)):
             if pipe is not None:
                 left = pipe.passed_at(size) - asyncio.get_running_loop().time()
                 await asyncio.sleep(left)
@@ -160,37 +168,42 @@
         return frozenset((one, other)) in self.cuts
 
     def links(self) -> list[MemoryLink]:
-        """Return both sides of all open connections."""
-        far = [link for place in self.listening.values() for link in place.links if not link.closed]
-        return far + [link.other for link in far if link.other is not None]
+        """Return both ends of all open connections."""
+        remote = [
+            link
+            for listener in self.listening.values()
+            for link in listener.links
+            if not link.closed
+        ]
+        return remote + [link.other for link in remote if link.other is not None]
 
     def port(self, name: str) -> "Port":
         return Port(self, name)
 
 
 class Port:
-    """A member's way to the others."""
+    """The network as one member uses it."""
 
     def __init__(self, wires: Wires, name: str) -> None:
         self._wires = wires
         self._name = name
 
     async def connect(self, address: str, handler: Handler, timeout: float) -> Link:
-        await asyncio.sleep(DELAY)
+        await asyncio.sleep(DELAY_S)
         if self._wires.parted(self._name, address):
             await asyncio.sleep(timeout)
             raise CallFailed("no connection in time", False)
-        place = self._wires.listening.get(address)
-        if place is None:
+        listener = self._wires.listening.get(address)
+        if listener is None:
             raise CallFailed("refused", False, refused=True)
-        near = MemoryLink(self._wires, self._name, address, handler)
-        far = MemoryLink(self._wires, address, self._name, place.handler)
-        near.other, far.other = far, near
-        far.on_closed = place.closed
-        place.links.append(far)
-        return near
-
-    def listen(self, address: str, handler: Handler, closed: Callable[[Link], None]) -> _Listening:
-        place = _Listening(self._wires, address, handler, closed)
-        self._wires.listening[address] = place
-        return place
+        local = MemoryLink(self._wires, self._name, address, handler)
+        remote = MemoryLink(self._wires, address, self._name, listener.handler)
+        local.other, remote.other = remote, local
+        remote.on_closed = listener.closed
+        listener.links.append(remote)
+        return local
+
+    def listen(self, address: str, handler: Handler, closed: Callable[[Link], None]) -> _Listener:
+        listener = _Listener(self._wires, address, handler, closed)
+        self._wires.listening[address] = listener
+        return listener
--- a/tests/emulator/vm_ports.py
+++ b/tests/emulator/vm_ports.py
@@ -1,7 +1,7 @@
-"""The VMs as one member sees them: what may become of a call on its way.
+"""The VMs as one member sees them, with the faults that may affect a call in transit.
 
-Calls are spoken as the platform's pages say, so that the product's own adapter is part of what is
-played.
+Calls use the wire format of the platform's documentation, so that the product's own adapter is
+part of the emulated system.
 """
 
 import asyncio
@@ -21,42 +21,42 @@
 from tests.emulator.vm import Vm
 from tests.emulator.vms import Cell
 
-LATENCY = 0.002
-HELD_UP = 0.25
-"""Seconds for which some calls and answers are held up on their way at most."""
+LATENCY_S = 0.002
+MAX_DELAY_S = 0.25
+"""Longest delay of a delayed call or reply, in seconds."""
 
-ENDS_AT_ONCE = 500
+MAX_COMPLETIONS_PER_REPORT = 500
 NO_HEADERS = httputil.HTTPHeaders()
 
 Told = dict[str, Any]
 """Body of a call."""
 Reply = tuple[int, Told]
-"""Status and body of an answer."""
-TURNED_AWAY: Reply = (503, {})
+"""Status and body of a reply."""
+REJECTED: Reply = (503, {})
 
 
 class VmNetwork:
-    """Passes a member's calls on to the VMs.
+    """Forwards a member's calls to the VMs.
 
-    A call that has been sent is carried out whatever becomes of its caller, and calls and answers
-    may overtake one another.
+    A call that has been sent is executed even if its caller has ended, and calls and replies may
+    overtake one another.
     """
 
     def __init__(self, cell: Cell, parted: Callable[[str], bool] = lambda vm: False) -> None:
         self._cell = cell
         self._parted = parted
-        """Tells whether the member is cut off from a VM."""
+        """Returns whether the member is cut off from a VM."""
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def _away(self, vm: Vm) -> bool:
+    def _is_unreachable(self, vm: Vm) -> bool:
         return vm.cut or self._parted(vm.info.name)
 
-    def _way(self) -> float:
-        """Return the seconds that a call, or an answer, needs."""
+    def _draw_transit_time(self) -> float:
+        """Draw the seconds that a call or a reply takes."""
         rng = self._cell.rng
         if rng.random() < self._cell.held_up:
-            return rng.uniform(LATENCY, HELD_UP)
-        return LATENCY * rng.uniform(0.5, 1.5)
+            return rng.uniform(LATENCY_S, MAX_DELAY_S)
+        return LATENCY_S * rng.uniform(0.5, 1.5)
 
     async def _call(
         self,
@@ -64,11 +64,11 @@
         address: str,
         act: Callable[[Vm], Coroutine[Any, Any, Reply | CallError]],
         timeout: float,
-        turned_away: Reply | CallError,
+        rejection: Reply | CallError,
     ) -> Reply | CallError:
-        """Send a call, and wait some seconds for its answer."""
+        """Send a call, and wait for its reply up to ``timeout`` seconds."""
         answer: asyncio.Future[Reply | CallError] = asyncio.get_running_loop().create_future()
-        self._spawn(self._carry(name, address, act, turned_away, answer))
+        self._spawn(self._execute(name, address, act, rejection, answer))
         try:
             async with asyncio.timeout(timeout):
                 return await answer
@@ -78,59 +78,67 @@
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work, context=outside())
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
 
-    def _ended(self, task: "asyncio.Task[None]") -> None:
-        """Forget a call that is over; raises what went wrong in it, which is the emulator's fault.
+    def _on_done(self, task: "asyncio.Task[None]") -> None:
+        """Discard a finished call, and raise its exception, which is a fault of the emulator.
 
-        Its sender sees no answer only, as if the VM were silent.
+        The sender only sees a missing reply, as if the VM were silent.
         """
         self._tasks.discard(task)
         if not task.cancelled():
             task.result()
 
-    async def _carry(
+    async def _execute(
         self,
         name: str,
         address: str,
         act: Callable[[Vm], Coroutine[Any, Any, Reply | CallError]],
-        turned_away: Reply | CallError,
+        rejection: Reply | CallError,
         answer: "asyncio.Future[Reply | CallError]",
     ) -> None:
         cell = self._cell
-        await asyncio.sleep(self._way())
-        # It reaches the life that is there by then.
+        await asyncio.sleep(self._draw_transit_time())
+        # The call reaches the incarnation that runs on arrival.
         vm = cell.newest(name)
-        if self._away(vm):
+        if self._is_unreachable(vm):
             return
         if not vm.up:
-            await self._at_another(vm, address, answer)
+            await self._reply_without_vm(vm, address, answer)
             return
         if vm.unhealthy and cell.rng.random() < vm.unhealthy:
             if not answer.done():
-                answer.set_result(turned_away)
+                answer.set_result(rejection)
             return
-        fate = cell.rng.random()
-        if fate < cell.late_orders:
+        draw = cell.rng.random()
+        if draw < cell.late_orders:
             await asyncio.sleep(cell.rng.uniform(2.0, 12.0))
         result = await act(vm)
-        await asyncio.sleep(self._way())
-        # As many answers are lost as orders are late.
-        if fate >= 2.0 * cell.late_orders and vm.up and not self._away(vm) and not answer.done():
+        await asyncio.sleep(self._draw_transit_time())
+        # The share of lost replies equals that of late requests.
+        if (
+            draw >= 2.0 * cell.late_orders
+            and vm.up
+            and not self._is_unreachable(vm)
+            and not answer.done()
+        ):
             answer.set_result(result)
 
-    async def _at_another(
+    async def _reply_without_vm(
         self, vm: Vm, address: str, answer: "asyncio.Future[Reply | CallError]"
     ) -> None:
-        """Find another life at the address, nothing that listens, or silence."""
-        present = self._cell.life_at(address)
-        if present is None and not vm.resets:
+        """Reply for an address whose VM has ended.
+
+        Another VM may listen there now; otherwise the connection is refused, or there is no reply.
+        """
+        current = self._cell.life_at(address)
+        if current is None and not vm.resets:
             return
-        if present is not None and self._away(present):
+        if current is not None and self._is_unreachable(current):
             return
-        await asyncio.sleep(self._way())
+        await asyncio.sleep(self._draw_transit_time())
         if not answer.done():
-            answer.set_result(CallError.REFUSED if present is None else CallError.OTHER_INCARNATION)
+            answer.set_result(CallError.REFUSED if current is None else CallError.OTHER_INCARNATION)
 
     async def fetch(
         self,
@@ -141,24 +149,24 @@
         timeout: float,
         waits: float = 0.0,
     ) -> Answer:
-        """Send a call as ``UpstreamPool`` does."""
-        told = json.loads(body)
+        """Send a call; takes the place of ``UpstreamPool.fetch``."""
+        fields = json.loads(body)
         act = ACTS[path]
-        refusal = TURNED_AWAY if path == "/api/run-start" else CallError.NO_ANSWER
+        refusal = REJECTED if path == "/api/run-start" else CallError.NO_ANSWER
 
-        async def acted(vm: Vm) -> Reply | CallError:
-            return await act(self._cell, vm, told)
+        async def execute(vm: Vm) -> Reply | CallError:
+            return await act(self._cell, vm, fields)
 
         name = headers["Expect-Instance"]
-        result = await self._call(name, address, acted, timeout, refusal)
+        result = await self._call(name, address, execute, timeout, refusal)
         if result is CallError.REFUSED:
             raise NotSent("refused", refused=True)
         if result is CallError.OTHER_INCARNATION:
             result = (421, {})
         if isinstance(result, CallError):
             raise CutShort(result.value)
-        status, answered = result
-        return Answer(status, NO_HEADERS, json.dumps(answered).encode())
+        status, response = result
+        return Answer(status, NO_HEADERS, json.dumps(response).encode())
 
 
 class EmulatedVms(PlatformWorkers):
@@ -168,17 +176,17 @@
         super().__init__(VmNetwork(cell, parted))  # type: ignore[arg-type]
 
 
-def _clock(vm: Vm) -> float:
+def _clock_ms(vm: Vm) -> float:
     return vm.clock_ms(asyncio.get_running_loop().time())
 
 
 def _refused(vm: Vm, reason: str) -> Reply:
-    return 409, {"clockMs": _clock(vm), "reason": reason}
+    return 409, {"clockMs": _clock_ms(vm), "reason": reason}
 
 
-async def _hold(cell: Cell, vm: Vm, told: Told) -> Reply | CallError:
-    wait = told.get("waitMs", 0) / 1000
-    call = HoldCall(vm.life, "", told["fence"], told.get("untilMs", 0), told["ackedUpto"], wait)
+async def _hold(cell: Cell, vm: Vm, body: Told) -> Reply | CallError:
+    wait = body.get("waitMs", 0) / 1000
+    call = HoldCall(vm.life, "", body["fence"], body.get("untilMs", 0), body["ackedUpto"], wait)
     error = cell.hold(vm, call)
     if error is CallError.FENCED:
         return _refused(vm, "fence")
@@ -191,28 +199,28 @@
     return 200, heard(vm)
 
 
-async def _start(cell: Cell, vm: Vm, told: Told) -> Reply | CallError:
-    saved, ticket = told.get("saved", ""), told.get("ticket", "")
-    action = StartRun(vm.life, told["task"], told["run"], told["spec"], 0.0, saved, ticket)
-    result = cell.start(vm, action, told["fence"], told["untilMs"])
+async def _start(cell: Cell, vm: Vm, body: Told) -> Reply | CallError:
+    saved, ticket = body.get("saved", ""), body.get("ticket", "")
+    action = StartRun(vm.life, body["task"], body["run"], body["spec"], 0.0, saved, ticket)
+    result = cell.start(vm, action, body["fence"], body["untilMs"])
     if isinstance(result, Started):
         return 200, {"clockMs": result.clock_ms}
     if result is StartRefusal.REJECTED:
-        return 400, {"clockMs": _clock(vm), "reason": "unknown"}
+        return 400, {"clockMs": _clock_ms(vm), "reason": "unknown"}
     if isinstance(result, StartRefusal):
         return _refused(vm, result.value)
     return _refused(vm, "fence") if result is CallError.FENCED else result
 
 
-async def _stop(cell: Cell, vm: Vm, told: Told) -> Reply | CallError:
-    error = cell.stop(vm, told["task"], told["run"], told["fence"])
+async def _stop(cell: Cell, vm: Vm, body: Told) -> Reply | CallError:
+    error = cell.stop(vm, body["task"], body["run"], body["fence"])
     if error is CallError.FENCED:
         return _refused(vm, "fence")
-    return error or (200, {"clockMs": _clock(vm)})
+    return error or (200, {"clockMs": _clock_ms(vm)})
 
 
-async def _pace(cell: Cell, vm: Vm, told: Told) -> Reply | CallError:
-    return _refused(vm, "fence") if told["fence"] < vm.fence else (200, {"clockMs": _clock(vm)})
+async def _throttle(cell: Cell, vm: Vm, body: Told) -> Reply | CallError:
+    return _refused(vm, "fence") if body["fence"] < vm.fence else (200, {"clockMs": _clock_ms(vm)})
 
 
 Act = Callable[[Cell, Vm, Told], Coroutine[Any, Any, Reply | CallError]]
@@ -220,18 +228,19 @@
     "/api/hold": _hold,
     "/api/run-start": _start,
     "/api/run-stop": _stop,
-    "/api/pace": _pace,
+    "/api/pace": _throttle,
 }
 
 
 def heard(vm: Vm) -> Told:
-    """Return a VM's own word."""
+    """Return a VM's report."""
     now = asyncio.get_running_loop().time()
     running = [
         [run.task, run.number, run.saved(now), 100 * (now - run.began) / run.length]
         for run in vm.runs.values()
     ]
     ended = [
-        [end.number, end.task, end.run, end.outcome, end.saved] for end in vm.ends[:ENDS_AT_ONCE]
+        [end.number, end.task, end.run, end.outcome, end.saved]
+        for end in vm.ends[:MAX_COMPLETIONS_PER_REPORT]
     ]
     return {"clockMs": vm.clock_ms(now), "running": running, "ended": ended, "born": vm.born}
