--- a/tests/emulator/faults.py
+++ b/tests/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Random faults, each of which ends by itself."""
+"""Random faults of members, store, VMs and network; each ends by itself."""
 
 import asyncio
 import random
@@ -7,12 +7,12 @@
 from tests.emulator.system import System
 from tests.emulator.vm import Vm
 
-POLL = 0.05
-"""Seconds between looks for a VM that is up."""
+POLL_INTERVAL_S = 0.05
+"""Seconds between two checks for a running VM."""
 Fault = Callable[[System, random.Random], Coroutine[object, object, None]]
 
 
-def _member(system: System, rng: random.Random) -> str:
+def _pick_member(system: System, rng: random.Random) -> str:
     leader = system.leader()
     if leader is not None and rng.random() < 0.5:
         return leader
@@ -20,28 +20,28 @@
 
 
 async def up(system: System) -> list[Vm]:
-    """Return the VMs that are up, once there are any."""
+    """Return the running VMs; waits until there are any."""
     while not (found := [vm for vm in system.cell.vms.values() if vm.up]):
-        await asyncio.sleep(POLL)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return found
 
 
 async def kill_member(system: System, rng: random.Random) -> None:
-    system.kill(_member(system, rng), rng.uniform(0.1, 3.0))
+    system.kill(_pick_member(system, rng), rng.uniform(0.1, 3.0))
 
 
 async def power_off(system: System, rng: random.Random) -> None:
-    system.power_off(_member(system, rng), rng.uniform(0.5, 4.0))
+    system.power_off(_pick_member(system, rng), rng.uniform(0.5, 4.0))
 
 
 async def power_off_all(system: System, rng: random.Random) -> None:
-    back = rng.uniform(0.5, 3.0)
+    base_delay = rng.uniform(0.5, 3.0)
     for name in system.names:
-        system.power_off(name, back + rng.uniform(0.0, 0.3))
+        system.power_off(name, base_delay + rng.uniform(0.0, 0.3))
 
 
 async def stop_member(system: System, rng: random.Random) -> None:
-    await system.stop(_member(system, rng), rng.uniform(0.2, 2.0))
+    await system.stop(_pick_member(system, rng), rng.uniform(0.2, 2.0))
 
 
 async def store_down(system: System, rng: random.Random) -> None:
@@ -51,7 +51,7 @@
 
 
 async def store_refuses(system: System, rng: random.Random) -> None:
-    """Let the store refuse calls at once, in words or by ending their connections."""
+    """Let the store refuse calls at once, by an error reply or a connection reset."""
     system.store.resets = rng.random() < 0.5
     system.store.refusing = rng.choice((0.3, 1.0))
     await asyncio.sleep(rng.uniform(1.0, 6.0))
@@ -59,7 +59,7 @@
 
 
 async def store_turns_away(system: System, rng: random.Random) -> None:
-    name = _member(system, rng)
+    name = _pick_member(system, rng)
     system.store.turned_away.add(name)
     await asyncio.sleep(rng.uniform(1.0, 8.0))
     system.store.turned_away.discard(name)
@@ -88,7 +88,7 @@
 
 
 async def vm_leaves(system: System, rng: random.Random) -> None:
-    """End a VM as planned: it says so, or its entry just goes, and it serves on for a while."""
+    """Shut a VM down: it announces this, or its entry is removed, and it runs on for a while."""
     vm = rng.choice(await up(system))
     if rng.random() < 0.5:
         system.drain(vm)
@@ -100,15 +100,15 @@
 
 
 async def entries_lapse(system: System, rng: random.Random) -> None:
-    """Drop the entries of VMs that live while the store is down; they are back soon after it."""
+    """Remove the entries of running VMs during a store outage; they return soon after it."""
     for vm in await up(system):
         if rng.random() < 0.7:
             system.unlist_vm(vm)
-            asyncio.get_running_loop().create_task(_back_in_list(system, vm, rng.uniform(0.1, 2.0)))
+            asyncio.get_running_loop().create_task(_relist_vm(system, vm, rng.uniform(0.1, 2.0)))
     await store_down(system, rng)
 
 
-async def _back_in_list(system: System, vm: Vm, after: float) -> None:
+async def _relist_vm(system: System, vm: Vm, after: float) -> None:
     await asyncio.sleep(0.1)
     while system.store.down:
         await asyncio.sleep(0.05)
@@ -125,7 +125,7 @@
 
 
 async def vm_unhealthy(system: System, rng: random.Random) -> None:
-    """Let a VM turn some calls away, doing nothing."""
+    """Let a VM reject some calls without any effect."""
     vm = rng.choice(await up(system))
     vm.unhealthy = rng.choice((0.3, 1.0))
     await asyncio.sleep(rng.uniform(1.0, 6.0))
@@ -139,18 +139,18 @@
 
 
 async def member_cut(system: System, rng: random.Random) -> None:
-    name = _member(system, rng)
-    cuts = {frozenset((name, other)) for other in system.names if other != name}
-    system.wires.cuts |= cuts
+    name = _pick_member(system, rng)
+    partitions = {frozenset((name, other)) for other in system.names if other != name}
+    system.wires.cuts |= partitions
     if rng.random() < 0.4:
         system.store.turned_away.add(name)
     await asyncio.sleep(rng.uniform(1.0, 6.0))
-    system.wires.cuts -= cuts
+    system.wires.cuts -= partitions
     system.store.turned_away.discard(name)
 
 
 async def links_fall_silent(system: System, rng: random.Random) -> None:
-    """Let some open connections say nothing more, in one direction or both, for good."""
+    """Silence some open connections for good, in one direction or both."""
     share = rng.choice((0.3, 1.0))
     for link in system.wires.links():
         link.mute = link.mute or rng.random() < share
--- a/tests/emulator/life_faults.py
+++ b/tests/emulator/life_faults.py
@@ -1,6 +1,6 @@
-"""VMs that start again under their ids, beside whatever else befalls a system.
+"""Faults in which VMs restart under the same id, along with other faults.
 
-A table of their own, so that the mixes drawn from the older tables stay as they were.
+They have a table of their own so that the mixes drawn from the other tables don't change.
 """
 
 import asyncio
@@ -19,32 +19,32 @@
 
 __all__ = ["LIFE_FAULTS", "draw"]
 
-SHARE = 0.7
+OWN_SHARE = 0.7
 """Share of a mix's faults that are drawn from this table."""
-ALL = 100
-BACK_AFTER = (0.1, 0.1, 0.3, 1.0, 3.0, 6.0)
-"""Seconds after which a VM is there again: some as fast as a process starts, before anybody has
-missed it."""
+ALL_VMS = 100
+RESTART_DELAYS_S = (0.1, 0.1, 0.3, 1.0, 3.0, 6.0)
+"""Seconds until a VM runs again; some values are as short as the start of a process, before the
+crash has been noticed."""
 
 
 def _restart(system: System, rng: random.Random, vm: Vm, capacity: Shape = CAPACITY) -> None:
-    system.restart_vm(vm, rng.choice(BACK_AFTER), capacity)
+    system.restart_vm(vm, rng.choice(RESTART_DELAYS_S), capacity)
 
 
-def _some(system: System, rng: random.Random, count: int) -> list[Vm]:
-    up = [vm for vm in system.cell.vms.values() if vm.up]
-    return rng.sample(up, min(len(up), count))
+def _pick_vms(system: System, rng: random.Random, count: int) -> list[Vm]:
+    running = [vm for vm in system.cell.vms.values() if vm.up]
+    return rng.sample(running, min(len(running), count))
 
 
 async def vms_restart(system: System, rng: random.Random) -> None:
-    """Let two of the VMs, or all, start again at about the same time."""
-    for vm in _some(system, rng, rng.choice((2, ALL))):
+    """Restart two VMs, or all of them, at about the same time."""
+    for vm in _pick_vms(system, rng, rng.choice((2, ALL_VMS))):
         _restart(system, rng, vm)
         await asyncio.sleep(rng.uniform(0.0, 0.2))
 
 
 async def one_restarts_in_series(system: System, rng: random.Random) -> None:
-    """Let one VM start again and again, at times before its entry was written."""
+    """Restart one VM repeatedly, sometimes before its entry was written."""
     name = rng.choice(sorted({vm.info.name for vm in system.cell.vms.values()}))
     for _ in range(rng.randint(3, 8)):
         newest = system.cell.newest(name)
@@ -54,60 +54,60 @@
 
 
 async def vms_restart_beside_leaders_killed(system: System, rng: random.Random) -> None:
-    """Let VMs start again, while one leader after the other is killed."""
-    again = asyncio.create_task(_restarts(system, rng))
+    """Restart VMs while several leaders are killed in succession."""
+    restarts = asyncio.create_task(_restart_repeatedly(system, rng))
     await leaders_killed(system, rng)
-    await again
+    await restarts
 
 
-async def _restarts(system: System, rng: random.Random) -> None:
+async def _restart_repeatedly(system: System, rng: random.Random) -> None:
     for _ in range(rng.randint(2, 4)):
         await vms_restart(system, rng)
         await asyncio.sleep(rng.uniform(0.2, 3.0))
 
 
 async def vms_restart_while_the_store_is_down(system: System, rng: random.Random) -> None:
-    """Let VMs start again, of which no entry tells before the store is back."""
-    down = asyncio.create_task(store_down(system, rng))
+    """Restart VMs during a store outage, so that their new entries appear only after it."""
+    outage = asyncio.create_task(store_down(system, rng))
     await asyncio.sleep(rng.uniform(0.0, 1.0))
     await vms_restart(system, rng)
-    await down
+    await outage
 
 
 async def shrinking_vms_restart(system: System, rng: random.Random) -> None:
-    """Let VMs shrink and grow, and some start again smaller than they were."""
+    """Let VMs shrink and grow, and restart some with a smaller capacity than before."""
     await capacity_shrinks(system, rng)
-    for vm in _some(system, rng, 2):
+    for vm in _pick_vms(system, rng, 2):
         smaller = Shape(int(CAPACITY.cores * rng.uniform(0.4, 0.9)), CAPACITY.memory)
         _restart(system, rng, vm, smaller)
-        asyncio.create_task(_grows_later(system, rng, vm))
+        asyncio.create_task(_restore_capacity_later(system, rng, vm))
         await asyncio.sleep(rng.uniform(0.0, 1.0))
 
 
-async def _grows_later(system: System, rng: random.Random, vm: Vm) -> None:
+async def _restore_capacity_later(system: System, rng: random.Random, vm: Vm) -> None:
     await asyncio.sleep(rng.uniform(8.0, 12.0))
     resize(system, system.cell.newest(vm.info.name), CAPACITY)
 
 
 async def vms_restart_behind_cuts(system: System, rng: random.Random) -> None:
-    """Let VMs start again while nobody reaches them."""
-    for vm in _some(system, rng, 2):
+    """Restart VMs while they are unreachable."""
+    for vm in _pick_vms(system, rng, 2):
         vm.cut = True
-        asyncio.create_task(_restarts_behind_a_cut(system, rng, vm))
+        asyncio.create_task(_restart_while_unreachable(system, rng, vm))
 
 
-async def _restarts_behind_a_cut(system: System, rng: random.Random, vm: Vm) -> None:
+async def _restart_while_unreachable(system: System, rng: random.Random, vm: Vm) -> None:
     await asyncio.sleep(rng.uniform(0.0, 1.0))
     if vm.up:
         _restart(system, rng, vm)
     await asyncio.sleep(rng.uniform(0.1, 5.0))
-    for life in system.cell.vms.values():
-        if life.info.name == vm.info.name:
-            life.cut = False
+    for incarnation in system.cell.vms.values():
+        if incarnation.info.name == vm.info.name:
+            incarnation.cut = False
 
 
 async def tasks_crash_vms_whose_ids_stay(system: System, rng: random.Random) -> None:
-    """Let tasks crash VMs that start again under their ids, while leaders are killed."""
+    """Let tasks crash VMs that restart under the same id, while leaders are killed."""
     system.ids_stay = True
     await tasks_crash_beside_leaders_killed(system, rng)
     await asyncio.sleep(rng.uniform(1.0, 5.0))
@@ -115,7 +115,7 @@
 
 
 async def calls_held_up(system: System, rng: random.Random) -> None:
-    """Hold many calls and answers up, so that some reach the next life of their VM."""
+    """Delay many calls and replies, so that some reach the next incarnation of their VM."""
     usual = system.cell.held_up
     system.cell.held_up = 0.3
     await one_restarts_in_series(system, rng)
@@ -135,5 +135,5 @@
 
 
 def draw(seed: int) -> list[Fault]:
-    """Return the faults of a seed's mix: most of them of this module, the others of any kind."""
-    return draw_mostly(seed, LIFE_FAULTS, SHARE)
+    """Return the faults of a seed's mix: most from this module, the others from ``FAULTS``."""
+    return draw_mostly(seed, LIFE_FAULTS, OWN_SHARE)
--- a/tests/emulator/mixes.py
+++ b/tests/emulator/mixes.py
@@ -1,4 +1,4 @@
-"""Plays traffic and faults over an emulated system, and tells what is wrong afterwards."""
+"""Runs traffic and faults on an emulated system, and returns the violations found."""
 
 import asyncio
 import random
@@ -11,43 +11,43 @@
 
 __all__ = ["organisations", "play", "play_organisations", "play_store"]
 
-Beside = Callable[[System, random.Random], Coroutine[object, object, None]]
-"""What goes on beside the traffic."""
-SETTLE = 60.0
-"""Seconds in which every accepted job has to end once all faults are undone."""
-OPERATOR_PAUSE = 0.05
-"""Seconds after which the operator tries again to write to a store that is down."""
-CAPS = (40_000, 46_000, 60_000)
-"""Cores of the smaller organisation's cap: each holds the widest gang that is handed in."""
+Background = Callable[[System, random.Random], Coroutine[object, object, None]]
+"""Work that runs concurrently with the traffic."""
+SETTLE_TIMEOUT_S = 60.0
+"""Seconds within which every accepted job has to end after all faults are cleared."""
+OPERATOR_RETRY_DELAY_S = 0.05
+"""Seconds after which the operator retries a write to a store that is down."""
+CAPS_MILLICORES = (40_000, 46_000, 60_000)
+"""Caps of the smaller organisation in thousandths of a core; each fits the widest gang."""
 
-SMALL_PAGE = 7
-"""Records of a page so small that what lasts needs many."""
+SMALL_PAGE_RECORDS = 7
+"""Records on a page so small that the persistent state needs many pages."""
 
 
 async def play(seed: int, chosen: Sequence[Fault], advice: bool = False) -> list[str]:
-    """Play some faults while jobs are handed in and some of them cancelled."""
+    """Inject faults while jobs are submitted and some of them cancelled."""
     system = System(seed, advice=advice)
     return await _play(system, seed, chosen, system.traffic("a", 60, 0.2), _cancel_some)
 
 
 async def play_organisations(seed: int, chosen: Sequence[Fault], advice: bool = False) -> list[str]:
-    """Play some faults over callers of two organisations, one of them with a cap that changes."""
+    """Inject faults with callers of two organisations, one of which has a changing cap."""
     system = System(seed, advice=advice)
-    system.configure(2, organisations=organisations(CAPS[0]))
+    system.configure(2, organisations=organisations(CAPS_MILLICORES[0]))
     callers = ("rueda", "rueda", "yard")
     traffic = system.traffic("a", 90, 0.1, callers)
     return await _play(system, seed, chosen, traffic, _change_caps)
 
 
 async def play_store(seed: int, chosen: Sequence[Fault], advice: bool = False) -> list[str]:
-    """Play faults of the store and of changes of leader, with pages that hold little."""
+    """Inject faults of the store and changes of leader, with small pages for odd seeds."""
     system = System(seed, advice=advice)
-    system.store.page = SMALL_PAGE if seed % 2 else system.store.page
+    system.store.page = SMALL_PAGE_RECORDS if seed % 2 else system.store.page
     return await _play(system, seed, chosen, system.traffic("a", 100, 0.12), _cancel_some)
 
 
 def organisations(cores: int) -> tuple[Organisation, ...]:
-    """Return an organisation with a cap and one without; each name's digest is its key."""
+    """Return an organisation with a cap and one without; the key of each is its name."""
     names = ("rueda", "yard")
     caps = (Shape(cores=cores), Shape())
     return tuple(
@@ -61,22 +61,22 @@
     seed: int,
     chosen: Sequence[Fault],
     traffic: Coroutine[object, object, None],
-    beside: Beside,
+    background: Background,
 ) -> list[str]:
     system.store.share_there = (0.0, 1.0)
     system.cell.held_up = 0.02
     system.start_all()
     await asyncio.sleep(1.0)
     rng = random.Random(seed + 7)
-    running = asyncio.create_task(traffic)
-    also = asyncio.create_task(beside(system, rng))
+    traffic_task = asyncio.create_task(traffic)
+    background_task = asyncio.create_task(background(system, rng))
     for fault in chosen:
         await asyncio.sleep(rng.uniform(0.2, 2.5))
         asyncio.create_task(fault(system, rng))
-    await running
-    await also
+    await traffic_task
+    await background_task
     await asyncio.sleep(9.0)
-    await system.settle(SETTLE)
+    await system.settle(SETTLE_TIMEOUT_S)
     return await system.faults()
 
 
@@ -91,6 +91,6 @@
     for version in range(3, 9):
         await asyncio.sleep(rng.uniform(0.5, 3.0))
         while system.store.down or system.store.refusing:
-            # What the operator writes is in force from the store's answer on.
-            await asyncio.sleep(OPERATOR_PAUSE)
-        system.configure(version, organisations=organisations(rng.choice(CAPS)))
+            # A configuration applies from the store's reply on.
+            await asyncio.sleep(OPERATOR_RETRY_DELAY_S)
+        system.configure(version, organisations=organisations(rng.choice(CAPS_MILLICORES)))
--- a/tests/emulator/vm_faults.py
+++ b/tests/emulator/vm_faults.py
@@ -1,6 +1,6 @@
-"""Faults of VMs and of what runs on them, beside changes of leader.
+"""Faults of VMs and of the tasks on them, along with changes of leader.
 
-A table of their own, so that the mixes drawn from the older tables stay as they were.
+They have a table of their own so that the mixes drawn from the other tables don't change.
 """
 
 import asyncio
@@ -16,26 +16,26 @@
 
 __all__ = ["VM_FAULTS", "draw", "resize"]
 
-SHARE = 0.6
+OWN_SHARE = 0.6
 """Share of a mix's faults that are drawn from this table."""
 
 
 async def tasks_crash(system: System, rng: random.Random) -> None:
-    """Let some of the jobs that come now have a task that crashes each VM that starts it."""
+    """Give some of the jobs submitted meanwhile a task that crashes each VM that starts it."""
     system.cell.crash_share = rng.choice((0.05, 0.15))
     await asyncio.sleep(rng.uniform(2.0, 6.0))
     system.cell.crash_share = 0.0
 
 
 async def tasks_crash_beside_leaders_killed(system: System, rng: random.Random) -> None:
-    """Let some jobs have such a task, while one leader after the other is killed."""
+    """Give some jobs a task that crashes VMs, while several leaders are killed in succession."""
     system.cell.crash_share = 0.15
     await leaders_killed(system, rng)
     system.cell.crash_share = 0.0
 
 
 async def capacity_shrinks(system: System, rng: random.Random) -> None:
-    """Let some VMs shrink, once or again and again, and grow to what they were."""
+    """Let some VMs shrink, once or repeatedly, and then grow to their original capacity."""
     vms = await up(system)
     for vm in rng.sample(vms, max(1, len(vms) // 2)):
         asyncio.create_task(_shrink(system, rng, vm))
@@ -49,26 +49,26 @@
 
 
 def resize(system: System, vm: Vm, capacity: Shape) -> None:
-    """Let a VM that is up shrink or grow, which its entry tells."""
+    """Change the capacity of a running VM and publish it in the VM's entry."""
     if not vm.up:
         return
-    before = entry(vm)
+    previous_entry = entry(vm)
     vm.resize(capacity, loop_time())
     system.list_vm(vm)
-    if system.rng.random() < OLD_WORD:
-        # An old word comes once more, and then the present one.
-        system.list_foreign(vm.info.name, before)
+    if system.rng.random() < OUTDATED_ENTRY_SHARE:
+        # The outdated entry is published once more, and then the current one.
+        system.list_foreign(vm.info.name, previous_entry)
         asyncio.get_running_loop().call_later(1.0, system.list_vm, vm)
 
 
 async def capacity_shrinks_beside_leaders_killed(system: System, rng: random.Random) -> None:
-    """Let some VMs shrink, while one leader after the other is killed."""
+    """Let some VMs shrink, while several leaders are killed in succession."""
     await capacity_shrinks(system, rng)
     await leaders_killed(system, rng)
 
 
 async def leader_suspended(system: System, rng: random.Random) -> None:
-    """Suspend the leader for some seconds, and its successor too at times."""
+    """Suspend the leader for some seconds, and sometimes its successors as well."""
     for _ in range(rng.randint(1, 3)):
         name = system.leader() or rng.choice(system.names)
         if name in system.members:
@@ -78,7 +78,7 @@
 
 
 async def members_suspended(system: System, rng: random.Random) -> None:
-    """Suspend some members at once, all of them at times."""
+    """Suspend some members at once, sometimes all of them."""
     names = rng.sample(system.names, rng.randint(1, len(system.names)))
     for name in names:
         if name in system.members:
@@ -87,13 +87,15 @@
 
 
 async def foreign_entries(system: System, rng: random.Random) -> None:
-    """Let another writer put things beside the VMs' entries, and take them out, as leaders change.
+    """Write foreign records into the topic of the VM entries, and remove them again.
 
-    The keys come before, between and after the VMs' own.
+    In half of the cases leaders are killed in between.
+
+    The keys sort before, between and after those of the VMs.
     """
     keys = ["", "\udcff\udcfe", "a b&c=d", "w0-", "~", "x" * 250]
     for key in rng.sample(keys, 4):
-        system.list_foreign(key, rng.choice(FOREIGN))
+        system.list_foreign(key, rng.choice(FOREIGN_VALUES))
     if rng.random() < 0.5:
         await leaders_killed(system, rng)
     await asyncio.sleep(rng.uniform(1.0, 6.0))
@@ -101,7 +103,7 @@
         system.list_foreign(key, b"")
 
 
-FOREIGN = (
+FOREIGN_VALUES = (
     b"\xff\xfe\x00",
     b"{}",
     b"null",
@@ -120,9 +122,9 @@
         }
     ).encode(),
 )
-"""The last one is whole, of a pool that is not named."""
-OLD_WORD = 0.3
-"""Share of the changes of a capacity after which an old word of it comes once more."""
+"""The last one is a complete entry, of a pool that no queue names."""
+OUTDATED_ENTRY_SHARE = 0.3
+"""Share of the capacity changes after which the outdated entry is published once more."""
 
 VM_FAULTS: tuple[Fault, ...] = (
     tasks_crash,
@@ -137,4 +139,4 @@
 
 def draw(seed: int) -> list[Fault]:
     """Return the faults of a seed's mix: most of them of this module, the others of any kind."""
-    return draw_mostly(seed, VM_FAULTS, SHARE)
+    return draw_mostly(seed, VM_FAULTS, OWN_SHARE)
