--- a/benchmarks/lost_worth.py
+++ b/benchmarks/lost_worth.py
@@ -1,9 +1,9 @@
-"""Which kinds of request end late in a played day, and what held them up.
+"""Report which kinds of request end late in a simulated day, and what delayed them.
 
     python -m benchmarks.lost_worth DAY.txt [DAY.txt ...]
 
-A job that ends late, or is never accepted, counts as one; it is divided among the reasons by the
-seconds that each held up its last chain of steps.
+A job that ends late, or is never accepted, counts as 1. This is divided among the reasons in
+proportion to the seconds by which each of them delayed the job's last chain of steps.
 """
 
 from collections import Counter, defaultdict
@@ -17,30 +17,30 @@
 from benchmarks.played_day import DONE, FAILED, Day, Job, Line, Run, read
 
 NO_LEADER = "no leader"
-STORE = "store down"
-ROOM = "room"
-CAP = "cap"
+STORE_DOWN = "store down"
+NO_CAPACITY = "room"
+ORGANISATION_CAP = "cap"
 ADVICE = "advice"
-SLOW = "slow or standing VM"
-LOST = "lost run"
-FAULT = "own fault"
-ANSWER = "lost answer"
-UNSETTLED = "VMs unheard"
-USUAL_FACTOR = 2.0
-"""A run longer than this many times its step's median counts as held up by its VM: works of one
-step differ by a third or so."""
+SLOW_VM = "slow or standing VM"
+LOST_RUN = "lost run"
+OWN_FAILURE = "own fault"
+LOST_REPLY = "lost answer"
+VMS_UNREPORTED = "VMs unheard"
+SLOW_RUN_FACTOR = 2.0
+"""A run longer than this multiple of its step's median counts as delayed by its VM; the durations
+of the tasks of one step differ by about a third."""
 
 
 class Lateness:
-    """Judges one job and divides its delay among the reasons."""
+    """Determines whether a job was late, and divides its delay among the reasons."""
 
     def __init__(self, day: Day, job: Job) -> None:
         self._day = day
         self._job = job
-        self._usual = self._usual_times()
+        self._median_seconds = self._median_seconds_by_step()
         self.delays: Counter[str] = Counter()
 
-    def _usual_times(self) -> dict[str, float]:
+    def _median_seconds_by_step(self) -> dict[str, float]:
         times: dict[str, list[float]] = defaultdict(list)
         for task, runs in self._job.runs.items():
             times[task.rpartition(".")[0]] += [
@@ -48,16 +48,16 @@
             ]
         return {step: median(values) for step, values in times.items() if values}
 
-    def _chain(self) -> float:
-        """Return the longest chain of work, as the runs of the tasks that went well tell it."""
+    def _critical_path(self) -> float:
+        """Return the length of the critical path, computed from the successful runs."""
         longest: dict[str, float] = {}
         for task, runs in self._job.runs.items():
             step = task.rpartition(".")[0]
-            usual = self._usual.get(step, 0.0)
+            median_seconds = self._median_seconds.get(step, 0.0)
             for run in runs:
                 if run.how == DONE:
-                    took = min(run.ended - run.began, USUAL_FACTOR * usual)
-                    longest[step] = max(longest.get(step, 0.0), took)
+                    duration = min(run.ended - run.began, SLOW_RUN_FACTOR * median_seconds)
+                    longest[step] = max(longest.get(step, 0.0), duration)
         assert self._job.ended is not None
         after = self._job.ended.fields.get("after")
         ends: list[float] = []
@@ -67,28 +67,30 @@
         return max(ends, default=0.0)
 
     def late(self) -> bool:
-        """Tell whether the job ended after its objective."""
+        """Return whether the job ended later than its objective allows."""
         ended = self._job.ended
         if ended is None or self._job.seen is None:
             return False
-        allowed = ended.number("stretch") * self._chain() + ended.number("target_ms") / 1000.0
+        allowed = (
+            ended.number("stretch") * self._critical_path() + ended.number("target_ms") / 1000.0
+        )
         return ended.at - self._job.seen > allowed
 
     def walk(self) -> None:
-        """Follow the last chain of runs back from the end and add up what held it up."""
+        """Follow the last chain of runs back from the end of the job, and sum up its delays."""
         job = self._job
         assert job.ended is not None
         assert job.seen is not None
         at = job.ended.at
         chain = self._last_run(at)
         if chain is not None:
-            self._held_by_others(Span(chain.ended, at), STORE)
+            self._add_outage_delays(Span(chain.ended, at), STORE_DOWN)
         while chain is not None:
-            at = self._walk_task(chain)
+            at = self._add_task_delays(chain)
             chain = self._last_run(at - 1e-3)
         if job.accepted is not None:
-            self._held_by_others(Span(job.accepted, at), ROOM)
-            self._held_by_others(Span(job.seen, job.accepted), ANSWER)
+            self._add_outage_delays(Span(job.accepted, at), NO_CAPACITY)
+            self._add_outage_delays(Span(job.seen, job.accepted), LOST_REPLY)
 
     def _last_run(self, before: float) -> Run | None:
         done = [
@@ -99,43 +101,45 @@
         ]
         return max(done, key=lambda run: run.ended, default=None)
 
-    def _walk_task(self, last: Run) -> float:
-        """Take the runs of one task from its end to when it could have started."""
+    def _add_task_delays(self, last: Run) -> float:
+        """Add the delays of one task's runs; return the time at which the task became ready."""
         step = last.task.rpartition(".")[0]
-        usual = self._usual.get(step, 0.0)
+        median_seconds = self._median_seconds.get(step, 0.0)
         runs = [run for run in self._job.runs[last.task] if run.began <= last.began]
         for run in runs[:-1]:
             end = run.ended if run.how else last.began
-            self.delays[FAULT if run.how == FAILED else LOST] += end - run.began
-        took = last.ended - last.began
-        self.delays[SLOW] += max(0.0, took - USUAL_FACTOR * usual)
+            self.delays[OWN_FAILURE if run.how == FAILED else LOST_RUN] += end - run.began
+        duration = last.ended - last.began
+        self.delays[SLOW_VM] += max(0.0, duration - SLOW_RUN_FACTOR * median_seconds)
         first = runs[0].began
         placed = self._job.placed.get(step)
         if placed is None:
             return first
         ready = placed.at - placed.number("waited")
-        asked = min(placed.number("asked_for"), placed.number("waited"))
-        capped = min(placed.number("capped"), placed.number("waited") - asked)
-        self.delays[ADVICE] += asked
-        self.delays[CAP] += capped
-        self._held_by_others(Span(min(ready + asked + capped, first), first), ROOM)
+        advice_wait = min(placed.number("asked_for"), placed.number("waited"))
+        cap_wait = min(placed.number("capped"), placed.number("waited") - advice_wait)
+        self.delays[ADVICE] += advice_wait
+        self.delays[ORGANISATION_CAP] += cap_wait
+        self._add_outage_delays(
+            Span(min(ready + advice_wait + cap_wait, first), first), NO_CAPACITY
+        )
         return ready
 
-    def _held_by_others(self, span: Span, otherwise: str) -> None:
+    def _add_outage_delays(self, span: Span, fallback: str) -> None:
         left = span.seconds
-        for reason, whole in (
+        for reason, periods in (
             (NO_LEADER, self._day.no_leader),
-            (UNSETTLED, self._day.unsettled),
-            (STORE, self._day.store_down),
+            (VMS_UNREPORTED, self._day.unsettled),
+            (STORE_DOWN, self._day.store_down),
         ):
-            part = min(left, overlap(span, whole))
-            self.delays[reason] += part
-            left -= part
-        self.delays[otherwise] += left
+            explained = min(left, overlap(span, periods))
+            self.delays[reason] += explained
+            left -= explained
+        self.delays[fallback] += left
 
 
 def kind_of(ended: Line) -> str:
-    """Return a name for a kind of request that holds over days: names of queues change."""
+    """Return a name for the kind of a request that is stable over days, unlike queue names."""
     kind = f"priority {int(ended.number('priority'))}"
     if ended.fields.get("gang"):
         kind += ", gang"
@@ -145,7 +149,7 @@
 
 
 class Table:
-    """Late jobs by kind, or by organisation, and reason."""
+    """Late jobs by reason, and by kind or organisation."""
 
     def __init__(self, by_organisation: bool = False) -> None:
         self._by_organisation = by_organisation
@@ -175,10 +179,10 @@
             return
         self.late[kind] += 1
         lateness.walk()
-        whole = sum(lateness.delays.values())
+        total_delay = sum(lateness.delays.values())
         for reason, seconds in lateness.delays.items():
             if seconds > 0:
-                self.shares[kind][reason] += seconds / whole
+                self.shares[kind][reason] += seconds / total_delay
 
     def _count(self, kind: str, reason: str) -> None:
         self.jobs[kind] += 1
@@ -198,10 +202,10 @@
 
 
 def main(
-    days: Annotated[list[Path], typer.Argument(help="Output of played days.")],
+    days: Annotated[list[Path], typer.Argument(help="Output of simulated days.")],
     organisations: Annotated[bool, typer.Option(help="By organisation, not by kind.")] = False,
 ) -> None:
-    """Print which jobs were late and why, summed over some days."""
+    """Print which jobs were late and why, summed over several days."""
     table = Table(organisations)
     for path in days:
         table.add(read(path))
--- a/benchmarks/node_logs.py
+++ b/benchmarks/node_logs.py
@@ -1,19 +1,19 @@
-"""What the logs of real processes say that no fault from outside explains."""
+"""Internal errors in the logs of real processes, which no injected fault explains."""
 
 import re
 from pathlib import Path
 
 __all__ = ["internal_errors"]
 
-FAULTY = re.compile(r'"level":"(error|critical)"|Traceback \(most recent call last\)')
-EXPECTED = '"message":"settings refused"'
-"""A bad settings file is a fault from outside."""
-LENGTH = 300
-"""Characters of a line that are told."""
+ERROR_LINE = re.compile(r'"level":"(error|critical)"|Traceback \(most recent call last\)')
+EXPECTED_MESSAGE = '"message":"settings refused"'
+"""The message for an invalid settings file, which is an injected fault."""
+MAX_LINE_CHARACTERS = 300
+"""Number of characters of a line that are reported."""
 
 
 def internal_errors(log: Path) -> list[str]:
-    """Return the lines by which a process tells a fault of its own; half lines are searched too."""
+    """Return the lines that report an internal error; incomplete lines are searched as well."""
     with log.open(encoding="utf-8", errors="replace") as lines:
-        found = [line for line in lines if FAULTY.search(line) and EXPECTED not in line]
-    return [line.strip()[:LENGTH] for line in found]
+        found = [line for line in lines if ERROR_LINE.search(line) and EXPECTED_MESSAGE not in line]
+    return [line.strip()[:MAX_LINE_CHARACTERS] for line in found]
--- a/benchmarks/open_connections.py
+++ b/benchmarks/open_connections.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connection and use it until the process at its end is gone."""
+"""Callers that keep a connection open and use it until the process at its other end has ended."""
 
 import asyncio
 import json
@@ -11,16 +11,16 @@
 
 __all__ = ["Answer", "Cut", "OpenConnection"]
 
-BETWEEN_CALLS = 0.1
-"""Seconds between an answer and the next call on the same connection."""
-RECONNECT_PAUSE = 0.1
-ANSWER_LIMIT = 8.0
-"""Seconds without an answer after which a caller gives its connection up."""
+CALL_INTERVAL_S = 0.1
+"""Seconds between a reply and the next call on the same connection."""
+RECONNECT_DELAY_S = 0.1
+REPLY_TIMEOUT_S = 8.0
+"""Seconds without a reply after which a caller closes its connection."""
 
 
 @dataclass(frozen=True)
 class Answer:
-    """The answer to one call: its status and body."""
+    """The reply to a call: its status and body."""
 
     code: int
     body: bytes
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Cut:
-    """A call whose connection ended without an answer."""
+    """A call whose connection ended without a reply."""
 
     node: Node
     life: int
@@ -36,7 +36,7 @@
 
 
 class OpenConnection:
-    """One caller of one process; what it asks for and what it makes of it come from outside."""
+    """A client of one process that reuses its connection."""
 
     def __init__(self, node: Node, cut: Callable[[Cut], None]) -> None:
         self._node = node
@@ -46,16 +46,16 @@
         self._life = 0
 
     async def call(self, method: str, job: str, body: object, key: str) -> Answer | None:
-        """Make one call over the open connection; ``None`` without an answer."""
-        if not await self._connected():
-            await asyncio.sleep(RECONNECT_PAUSE)
+        """Make a call over the open connection; return ``None`` if there is no reply."""
+        if not await self._connect():
+            await asyncio.sleep(RECONNECT_DELAY_S)
             return None
         assert self._writer is not None
         self._writer.write(_request(method, job, body, key))
         sent_at = time.monotonic()
         try:
-            async with asyncio.timeout(ANSWER_LIMIT):
-                answer = await self._answer()
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
+                answer = await self._read_reply()
         except TimeoutError:
             self.close()
             return None
@@ -63,10 +63,10 @@
             self._cut(Cut(self._node, self._life, time.monotonic() - sent_at))
             self.close()
             return None
-        await asyncio.sleep(BETWEEN_CALLS)
+        await asyncio.sleep(CALL_INTERVAL_S)
         return answer
 
-    async def _connected(self) -> bool:
+    async def _connect(self) -> bool:
         if self._writer is not None:
             return True
         host, _, port = self._node.front.rpartition(":")
@@ -77,7 +77,7 @@
         self._life = self._node.lives
         return True
 
-    async def _answer(self) -> Answer:
+    async def _read_reply(self) -> Answer:
         assert self._reader is not None
         head = (await self._reader.readuntil(b"\r\n\r\n")).decode().lower().split("\r\n")
         headers = dict(line.split(": ", 1) for line in head[1:] if line)
@@ -87,7 +87,7 @@
         return Answer(int(head[0].split()[1]), body)
 
     def close(self) -> None:
-        """End the connection; the next call opens another."""
+        """Close the connection; the next call opens another."""
         if self._writer is not None:
             self._writer.close()
         self._reader = self._writer = None
--- a/benchmarks/played_day.py
+++ b/benchmarks/played_day.py
@@ -1,6 +1,6 @@
-"""A played day as the structured lines of all processes tell it: its jobs and their runs.
+"""A simulated day, read from the structured log lines of all processes: its jobs and their runs.
 
-Each line stands behind its simulated time and the machine's name, as the users' bench prints it.
+Each line follows its simulated time and the machine's name, as the users' test bench prints it.
 """
 
 import re
@@ -18,11 +18,11 @@
 LINE = re.compile(r"^\s*(-?\d+\.\d+) (\S+) (\{\"time\".*)$")
 FAILED = "failed"
 DONE = "done"
-DROPPED = ("dropped_decisions", "dropped_runs")
+DROPPED_FIELDS = ("dropped_decisions", "dropped_runs")
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One structured line and when and where it was written (simulated seconds)."""
+    """A structured log line, with its time in simulated seconds and its machine."""
 
     at: float
     machine: str
@@ -30,25 +30,25 @@
 
     @property
     def message(self) -> str:
-        """Return what the line says."""
+        """The message of the line."""
         return str(self.fields.get("message", ""))
 
     def text(self, key: str) -> str:
-        """Return a field as text; empty if it is not there."""
+        """Return a field as text, or an empty string if it is missing."""
         return str(self.fields.get(key, ""))
 
     def number(self, key: str) -> float:
-        """Return a field as a number; 0 if it is not there."""
+        """Return a field as a number, or 0 if it is missing or not numeric."""
         value = self.fields.get(key, 0.0)
         return float(value) if isinstance(value, int | float) else 0.0
 
     def rows(self, key: str, row: Any) -> list[Any]:
-        """Return a field's rows, each of the type given; none if the field is not there."""
+        """Return the rows of a field, converted to ``row``; none if the field is missing."""
         return msgspec.convert(self.fields.get(key, []), list[row])
 
 
 class Run(msgspec.Struct):
-    """One run of a task."""
+    """A run of a task."""
 
     task: str
     began: float
@@ -57,11 +57,11 @@
 
 
 class Job(msgspec.Struct):
-    """What the lines tell of one job."""
+    """A job, as far as the log lines describe it."""
 
     name: str
     seen: float | None = None
-    """When it was first refused or accepted."""
+    """Time of the first line about the job."""
     refusals: list[tuple[float, str, int]] = []
     accepted: float | None = None
     ended: Line | None = None
@@ -70,23 +70,23 @@
 
 
 class Day:
-    """The jobs of one day, and the spans in which nobody led or the store did not answer."""
+    """The jobs of a day, and its spans without a leader or without replies of the store."""
 
     def __init__(self, lines: list[Line]) -> None:
         self.jobs: dict[str, Job] = {}
         self._runs: dict[tuple[str, int], Run] = {}
         self.dropped: Counter[str] = Counter()
-        """Lines that were not written, by class."""
+        """Number of log lines that were dropped, by class."""
         for line in lines:
-            self._take(line)
-        self.no_leader = _no_leader(lines)
+            self._add_line(line)
+        self.no_leader = _spans_without_leader(lines)
         self.unsettled = spans(_times(lines, "leading"), _times(lines, "former runs settled"))
-        leaders = _leaders_lines(lines)
+        leaders = _lines_of_leaders(lines)
         self.store_down = spans(
             _times(leaders, "store does not answer"), _times(leaders, "store answers")
         )
 
-    def _job(self, name: str, at: float) -> Job:
+    def _job_named(self, name: str, at: float) -> Job:
         job = self.jobs.get(name)
         if job is None:
             job = self.jobs[name] = Job(name)
@@ -94,32 +94,32 @@
             job.seen = at
         return job
 
-    def _take(self, line: Line) -> None:
+    def _add_line(self, line: Line) -> None:
         message = line.message
         if message == "refused" and line.text("method") == "POST":
-            job = self._job(line.text("request"), line.at)
+            job = self._job_named(line.text("request"), line.at)
             job.refusals.append((line.at, line.text("why"), int(line.number("status"))))
         elif message == "job accepted":
-            job = self._job(line.text("job"), line.at)
+            job = self._job_named(line.text("job"), line.at)
             job.accepted = line.at if job.accepted is None else job.accepted
         elif message == "job ended":
-            job = self._job(line.text("job"), line.at)
+            job = self._job_named(line.text("job"), line.at)
             job.ended = job.ended or line
-            self._job_runs(job, line)
+            self._add_completed_runs(job, line)
         elif message == "job runs":
-            self._job_runs(self._job(line.text("job"), line.at), line)
+            self._add_completed_runs(self._job_named(line.text("job"), line.at), line)
         elif message == "step placed":
             step = line.text("step")
-            self._job(step.partition(".")[0], line.at).placed.setdefault(step, line)
-            self._placed(step, line)
+            self._job_named(step.partition(".")[0], line.at).placed.setdefault(step, line)
+            self._add_placement(step, line)
         elif message == "run ended":
             run = self._runs.get((line.text("task"), line.number("run")))
-            self._ended(run, line.at, line.text("how"))
-        for name in DROPPED:
+            self._end_run(run, line.at, line.text("how"))
+        for name in DROPPED_FIELDS:
             self.dropped[name] += int(line.number(name))
 
-    def _placed(self, step: str, line: Line) -> None:
-        """Take the runs of a step that are started at once."""
+    def _add_placement(self, step: str, line: Line) -> None:
+        """Add the runs of a step that were placed together."""
         for index, number, _vm in line.rows("runs", tuple[int, int, str]):
             self._run(f"{step}.{index}", number, line.at)
 
@@ -127,29 +127,29 @@
         run = self._runs.get((task, number))
         if run is None:
             run = self._runs[(task, number)] = Run(task, began)
-            self._job(task.partition(".")[0], began).runs.setdefault(task, []).append(run)
+            self._job_named(task.partition(".")[0], began).runs.setdefault(task, []).append(run)
         return run
 
     @staticmethod
-    def _ended(run: Run | None, at: float, how: str) -> None:
+    def _end_run(run: Run | None, at: float, how: str) -> None:
         if run is not None and not run.how:
             run.ended = at
             run.how = how
 
-    def _job_runs(self, job: Job, line: Line) -> None:
-        """Take the ends of a job's runs, which are told in seconds since its leader knew it."""
+    def _add_completed_runs(self, job: Job, line: Line) -> None:
+        """Add the completed runs of a job, whose times count from when its leader learned of it."""
         known_at = line.at - line.number("known")
         for task, number, _vm, began, ended, how in line.rows("runs", RunCells):
             run = self._run(f"{job.name}.{task}", number, known_at + began)
-            self._ended(run, known_at + ended, how)
+            self._end_run(run, known_at + ended, how)
 
 
 def _times(lines: list[Line], message: str) -> list[float]:
     return [line.at for line in lines if line.message == message]
 
 
-def _leaders_lines(lines: list[Line]) -> list[Line]:
-    """Return what each leader wrote while no later one led."""
+def _lines_of_leaders(lines: list[Line]) -> list[Line]:
+    """Return the lines that each leader wrote before the next one began to lead."""
     leader = ""
     found = []
     for line in lines:
@@ -159,30 +159,30 @@
     return found
 
 
-def _no_leader(lines: list[Line]) -> list[Span]:
-    """Return the spans between the last sign of a leader and the next one that leads."""
-    orders = ("step placed", "job accepted", "job ended", "leads no more")
+def _spans_without_leader(lines: list[Line]) -> list[Span]:
+    """Return the spans from the last activity of a leader to the start of the next one."""
+    leader_messages = ("step placed", "job accepted", "job ended", "leads no more")
     found = []
     last = 0.0
     for line in lines:
         if line.message == "leading" and line.at > last > 0.0:
             found.append(Span(last, line.at))
-        if line.message in (*orders, "leading"):
+        if line.message in (*leader_messages, "leading"):
             last = line.at
     return found
 
 
 def parse(text: str) -> Line | None:
-    """Return one printed line, or ``None`` if it is none of ours."""
-    found = LINE.match(text)
-    if found is None:
+    """Parse a printed line; return ``None`` if it is not a structured log line."""
+    match = LINE.match(text)
+    if match is None:
         return None
-    fields = msgspec.json.decode(found[3], type=dict[str, object])
-    return Line(float(found[1]), found[2], fields)
+    fields = msgspec.json.decode(match[3], type=dict[str, object])
+    return Line(float(match[1]), match[2], fields)
 
 
 def read(path: Path) -> Day:
-    """Read the lines of one played day."""
+    """Read the printed lines of a simulated day."""
     with path.open(errors="replace") as file:
         lines = [line for text in file if (line := parse(text)) is not None]
     return Day(lines)
--- a/benchmarks/process_soak.py
+++ b/benchmarks/process_soak.py
@@ -1,11 +1,11 @@
-"""The randomized soak of the real programs: processes, sockets and signals, with seeded faults.
+"""The randomised soak test of real processes, sockets and signals, with seeded faults.
 
 python -m benchmarks.process_soak --seed 1 --seconds 60
 
-The stand-in VMs note each broken invariant; every accepted job must end as it should, and no answer
-may say otherwise on the way. Some callers keep their connections, and use them until the process at
-the other end is gone. Prints a summary and exits 1 if anything is wrong. The logs of the processes
-are kept in that case.
+The stand-in VMs record each violated invariant; every accepted job has to reach an allowed final
+state, and no reply may contradict this on the way. Some callers keep a connection open until the
+process at its other end has ended. Prints a summary, and exits with 1 if anything is wrong; in that
+case the logs of the processes are kept.
 """
 
 import asyncio
@@ -31,45 +31,45 @@
 
 PROCESSES = 4
 VMS = 6
-JOB_EVERY = 0.08
+JOB_INTERVAL_S = 0.08
 """Mean seconds between two jobs."""
-FAULT_EVERY = 2.5
-"""Mean seconds between two faults, so that some overlap."""
-SETTLE_LIMIT = 60.0
+FAULT_INTERVAL_S = 2.5
+"""Mean seconds between two faults; some of them overlap."""
+SETTLE_TIMEOUT_S = 60.0
 TASK_SECONDS = 0.6
-PAGE = 200
-"""Records in one page of the store's: a thousand jobs need a few."""
-LEAST_ACCEPTED = 0.8
-"""Share of the jobs that must be accepted, with all retries, but for those that came and gave up
-while the store was down."""
-CAPS = (18_000, 24_000, 40_000)
-"""Thousandths of a core; the widest gang has 16,000."""
-CONFIGURE_EVERY = 4.0
+PAGE_RECORDS = 200
+"""Records on a page of the store, so that a thousand jobs need a few pages."""
+MIN_ACCEPTED_SHARE = 0.8
+"""Share of the jobs that have to be accepted, including retries; jobs whose attempts all fell into
+a store outage don't count."""
+CAPS_MILLICORES = (18_000, 24_000, 40_000)
+"""Caps in thousandths of a core; the widest gang has 16,000."""
+CONFIGURE_INTERVAL_S = 4.0
 """Mean seconds between two configurations."""
-OPEN_CONNECTIONS = 4
-"""Processes with a caller that keeps its connection."""
+PROCESSES_WITH_OPEN_CONNECTION = 4
+"""Number of processes that have a caller with an open connection."""
 
 
 @dataclass(frozen=True)
 class Size:
-    """How much is played, and with what."""
+    """The duration, the size and the faults of a soak."""
 
     seconds: float = 60.0
     processes: int = PROCESSES
     vms: int = VMS
     faults: tuple[Fault, ...] = FAULTS
-    fault_every: float = FAULT_EVERY
-    least_accepted: float = LEAST_ACCEPTED
+    fault_every: float = FAULT_INTERVAL_S
+    least_accepted: float = MIN_ACCEPTED_SHARE
 
 
 class Soak:
-    """One run: the processes, the load, the faults and what the callers saw."""
+    """A soak: its processes, load, faults and callers."""
 
     def __init__(self, seed: int, size: Size, folder: Path) -> None:
         self.rng = random.Random(seed)
         self.size = size
         self.standin = Standin()
-        self.standin.page = PAGE
+        self.standin.page = PAGE_RECORDS
         self.standin.cell.seconds = TASK_SECONDS
         self.standin.cell.fail_share = 0.02
         self.nodes = Nodes(size.processes, folder, self.standin)
@@ -82,58 +82,58 @@
         self._version = 0
 
     async def run(self) -> list[str]:
-        """Play, let it settle, and return what is wrong."""
+        """Run the load and the faults, let the system settle, and return the violations."""
         self._configure()
         for number in range(self.size.vms):
             self.standin.add_worker(f"r{number // 3}")
         await self.nodes.start()
         try:
-            await self._play()
-            return await self._judge()
+            await self._run_load()
+            return await self._check()
         finally:
             self.target.ending = True
             await self.nodes.close()
             self.standin.close()
 
     def _configure(self) -> None:
-        """Publish another version: the same keys, and some cap for the first organisation."""
+        """Publish the next configuration: the same keys, and a random cap for one organisation."""
         self._version += 1
-        cap = {"cpu": self.rng.choice(CAPS)}
+        cap = {"cpu": self.rng.choice(CAPS_MILLICORES)}
         tenants = [{"name": name, "apiKeys": [key]} for name, key in KEYS.items()]
         tenants[0]["cap"] = cap  # type: ignore[assignment]
         self.standin.configure(self._version, tenants, maxAttempts=self.standin.cell.max_attempts)
 
-    async def _configure_often(self, end: float) -> None:
+    async def _configure_repeatedly(self, end: float) -> None:
         while time.monotonic() < end:
-            await asyncio.sleep(self.rng.expovariate(1.0 / CONFIGURE_EVERY))
+            await asyncio.sleep(self.rng.expovariate(1.0 / CONFIGURE_INTERVAL_S))
             self._configure()
 
-    async def _play(self) -> None:
+    async def _run_load(self) -> None:
         end = time.monotonic() + self.size.seconds
-        self.callers.spawn(self._configure_often(end))
-        for node in self.nodes.rows[:OPEN_CONNECTIONS]:
+        self.callers.spawn(self._configure_repeatedly(end))
+        for node in self.nodes.rows[:PROCESSES_WITH_OPEN_CONNECTION]:
             self.callers.spawn(self.callers.keep_connection(node, end))
-        strikes = asyncio.create_task(self._strike(end))
+        faults_task = asyncio.create_task(self._inject_faults(end))
         while time.monotonic() < end:
             self.callers.spawn(self.callers.hand_in())
-            await asyncio.sleep(self.rng.expovariate(1.0 / JOB_EVERY))
-        await strikes
+            await asyncio.sleep(self.rng.expovariate(1.0 / JOB_INTERVAL_S))
+        await faults_task
         await self.callers.wait()
 
-    async def _strike(self, end: float) -> None:
-        striking = []
+    async def _inject_faults(self, end: float) -> None:
+        running = []
         while time.monotonic() < end:
             await asyncio.sleep(self.rng.expovariate(1.0 / self.size.fault_every))
             fault = self.rng.choice(self.size.faults)
             self.faults[fault.__name__] += 1
-            striking.append(asyncio.create_task(fault(self.target)))
-        await asyncio.gather(*striking)
+            running.append(asyncio.create_task(fault(self.target)))
+        await asyncio.gather(*running)
         await self.nodes.start()
 
-    # -- What must hold ----------------------------------------------------------------------
+    # -- Checks ------------------------------------------------------------------------------
 
-    async def _judge(self) -> list[str]:
-        limit = time.monotonic() + SETTLE_LIMIT
+    async def _check(self) -> list[str]:
+        limit = time.monotonic() + SETTLE_TIMEOUT_S
         unfinished = await self.callers.unfinished()
         while unfinished and time.monotonic() < limit:
             await asyncio.sleep(1.0)
@@ -149,14 +149,14 @@
         return wrong
 
 
-async def _play(seed: int, size: Size, folder: Path) -> tuple[Soak, list[str]]:
-    # The stand-in's servers belong to the loop in which they are made.
+async def _run_soak(seed: int, size: Size, folder: Path) -> tuple[Soak, list[str]]:
+    # The stand-in has to be created inside the event loop that its servers use.
     soak = Soak(seed, size, folder)
     return soak, await soak.run()
 
 
 def faults_named(names: str) -> tuple[Fault, ...]:
-    """Return the faults of some names, by comma; raises ``ValueError`` for one that is unknown."""
+    """Return the faults of comma-separated names; raise ``ValueError`` for an unknown name."""
     by_name = {fault.__name__: fault for fault in FAULTS + VM_FAULTS + LIFE_FAULTS + LINK_FAULTS}
     if names == "vms":
         return FAULTS + VM_FAULTS * 2
@@ -170,7 +170,7 @@
         raise ValueError(f"{error}; known are {', '.join(by_name)}") from None
 
 
-def _chosen(names: str) -> tuple[Fault, ...]:
+def _check_names(names: str) -> tuple[Fault, ...]:
     try:
         return faults_named(names)
     except ValueError as error:
@@ -182,11 +182,13 @@
     seconds: Annotated[float, typer.Option(help="Seconds of load.")] = 60.0,
     processes: Annotated[int, typer.Option(min=1, help="How many processes.")] = PROCESSES,
     vms: Annotated[int, typer.Option(min=1, help="How many VMs.")] = VMS,
-    fault_every: Annotated[float, typer.Option(help="Mean seconds between faults.")] = FAULT_EVERY,
+    fault_every: Annotated[
+        float, typer.Option(help="Mean seconds between faults.")
+    ] = FAULT_INTERVAL_S,
     faults: Annotated[str, typer.Option(help="By comma; vms, lives, links: those too.")] = "",
 ) -> None:
-    """Play one soak and print what came of it."""
-    _chosen(faults)
+    """Run a soak and print its results."""
+    _check_names(faults)
     if play(seed, seconds, processes, vms, fault_every, faults):
         raise typer.Exit(1)
 
@@ -196,13 +198,13 @@
     seconds: float,
     processes: int,
     vms: int,
-    fault_every: float = FAULT_EVERY,
+    fault_every: float = FAULT_INTERVAL_S,
     faults: str = "",
 ) -> int:
-    """Play one soak and print what came of it; return how much was wrong."""
+    """Run a soak and print its results; return the number of violations."""
     folder = Path(tempfile.mkdtemp(prefix="sablemount-soak-"))
     size = Size(seconds, processes, vms, faults_named(faults), fault_every)
-    soak, wrong = asyncio.run(_play(seed, size, folder))
+    soak, wrong = asyncio.run(_run_soak(seed, size, folder))
     verdicts = soak.callers.verdicts
     print(f"seed {seed}, {seconds:.0f} s, {processes} processes, {vms} VMs:", end=" ")
     print(f"{len(verdicts.accepted)} jobs accepted, {len(verdicts.refused)} refused,", end=" ")
--- a/benchmarks/suspendable.py
+++ b/benchmarks/suspendable.py
@@ -1,10 +1,10 @@
-"""Runs the program of a process whose steady clock stands still while the process is stopped.
+"""Runs a program whose monotonic clock stands still while its process is stopped.
 
 python -m benchmarks.suspendable PROGRAM
 
-A machine that is suspended runs nothing, and its steady clock does not count that time. Stopping a
-process alone leaves its clocks going; so the steady clock that the interpreter reads leaves out
-each gap between two looks at it that is longer than an idle process ever makes.
+A suspended machine runs nothing, and its monotonic clock does not count that time. Stopping only a
+process leaves its clocks running; so ``time.monotonic`` is replaced by a clock that leaves out each
+gap between two reads that is longer than any in an idle process.
 """
 
 import runpy
@@ -14,9 +14,9 @@
 
 __all__ = ["SteadyClock", "main"]
 
-STOPPED = 0.4
-"""Seconds between two looks at the clock from which the process was stopped: an idle one looks
-several times as often."""
+PAUSE_THRESHOLD_S = 0.4
+"""Gap in seconds between two reads of the clock that means that the process was stopped; an idle
+process reads its clock several times as often."""
 
 
 class SteadyClock:
@@ -24,20 +24,20 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._seen = clock()
-        self._left_out = 0.0
+        self._last_read = clock()
+        self._skipped = 0.0
 
     def __call__(self) -> float:
-        """Return seconds."""
+        """Return the time in seconds."""
         now = self._clock()
-        if now - self._seen > STOPPED:
-            self._left_out += now - self._seen
-        self._seen = now
-        return now - self._left_out
+        if now - self._last_read > PAUSE_THRESHOLD_S:
+            self._skipped += now - self._last_read
+        self._last_read = now
+        return now - self._skipped
 
 
 def main() -> None:
-    """Run the program that is named."""
+    """Run the program given as the first argument."""
     time.monotonic = SteadyClock(time.monotonic)
     sys.argv = sys.argv[1:]
     runpy.run_path(sys.argv[0], run_name="__main__")
--- a/tests/test_lost_worth.py
+++ b/tests/test_lost_worth.py
@@ -1,4 +1,4 @@
-"""The table of late jobs: who was late, and what held it up."""
+"""The table of late jobs: which jobs are late, and the reasons of their delays."""
 
 import json
 
@@ -9,11 +9,11 @@
 
 
 def _day(*lines: tuple[float, str, dict[str, object]]) -> Day:
-    texts = [
+    printed_lines = [
         f"  {at:.4f} machine-1 {json.dumps({'time': at, 'message': message, **fields})}"
         for at, message, fields in lines
     ]
-    parsed = [parse(text) for text in texts]
+    parsed = [parse(text) for text in printed_lines]
     return Day([line for line in parsed if line is not None])
 
 
@@ -24,14 +24,14 @@
         "asked_for": 0.0,
         "runs": [[0, 1, "w0"]],
     }
-    ends = {
+    completion = {
         "known": ended - accepted,
         "runs": [["0.0.0", 1, "w0", began - accepted, ended - accepted, "done"]],
     }
     return [
         (accepted, "job accepted", {"job": name}),
         (began, "step placed", placed),
-        (ended, "job ended", {"job": name, "state": "succeeded", **TERMS, **ends}),
+        (ended, "job ended", {"job": name, "state": "succeeded", **TERMS, **completion}),
     ]
 
 
