--- a/benchmarks/node_faults.py
+++ b/benchmarks/node_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the process soak: each strikes real processes, or the stand-in platform."""
+"""Faults of the process soak, injected into real processes or the stand-in platform."""
 
 import asyncio
 import random
@@ -16,22 +16,22 @@
 
 __all__ = ["FAULTS", "LIFE_FAULTS", "VM_FAULTS", "Fault", "Target"]
 
-STOP_LIMIT = 6.0
-"""Seconds that a planned stop may take: the grace of the processes' settings."""
-USUAL_LATENCY = 0.004
+STOP_TIMEOUT_S = 6.0
+"""Seconds that a graceful stop may take: the grace period in the processes' settings."""
+USUAL_LATENCY_S = 0.004
 LEADER_SHARE = 0.4
-"""Share of the faults of one process that strike the leader."""
-LEADERS_KILLED = (3, 6)
-"""How many leaders are killed in a series."""
-ACCEPTANCE_LIMIT = 5.0
-"""Seconds for which a loss of power waits for a job to be accepted."""
-BACK_AFTER = (0.1, 0.3, 1.0, 3.0)
-"""Seconds after which a VM is there again."""
-WHOLE_CORES = 16_000
+"""Share of the faults of a single process that are injected into the leader."""
+LEADER_KILLS = (3, 6)
+"""Range of the number of leaders killed in succession."""
+ACCEPTANCE_TIMEOUT_S = 5.0
+"""Longest wait of ``power_lost`` for the acceptance of a job, in seconds."""
+RESTART_DELAYS_S = (0.1, 0.3, 1.0, 3.0)
+"""Seconds after which a VM runs again."""
+FULL_MILLICORES = 16_000
 
 
 class Target:
-    """What the faults strike, and what they find wrong themselves."""
+    """The system that faults are injected into, and the violations that the faults find."""
 
     def __init__(self, nodes: Nodes, standin: Standin, rng: random.Random) -> None:
         self.nodes = nodes
@@ -40,25 +40,25 @@
         self.wrong: list[str] = []
         self.ending = False
         self.accepted = asyncio.Event()
-        """Set once a caller is told that its job is accepted."""
+        """Set when the acceptance of a job is reported to its caller."""
         self._spawned: set[asyncio.Future[None]] = set()
         self.series = asyncio.Lock()
-        """Held by a series of faults of which there is one at a time."""
+        """Held by ``leaders_killed``, which runs once at a time."""
 
     def spawn(self, work: Coroutine[object, object, None]) -> None:
-        """Let something go on beside a fault."""
+        """Run a coroutine concurrently with a fault."""
         task = asyncio.ensure_future(work)
         self._spawned.add(task)
         task.add_done_callback(self._spawned.discard)
 
     def leader(self) -> Node | None:
-        """Return the process that claimed last to lead, if it runs."""
+        """Return the process with the latest claim to leadership, if it is running."""
         rows = self.standin.store.topics[Topic.LEADER].newest.values()
         names = {msgspec.msgpack.decode(row.record.value, type=LeaderRecord).name for row in rows}
         return next((node for node in self.nodes.running() if node.name in names), None)
 
     def one(self) -> Node | None:
-        """Return some process that runs, the leader more often than others."""
+        """Return a random running process; the leader is more likely than others."""
         running = self.nodes.running()
         leader = self.leader()
         if leader is not None and self.rng.random() < LEADER_SHARE:
@@ -66,17 +66,17 @@
         return self.rng.choice(running) if running else None
 
     def vm(self) -> Vm | None:
-        """Return some VM that is up."""
-        up = [vm for vm in self.standin.cell.vms.values() if vm.up]
-        return self.rng.choice(up) if up else None
+        """Return a random running VM."""
+        running = [vm for vm in self.standin.cell.vms.values() if vm.up]
+        return self.rng.choice(running) if running else None
 
     def link(self) -> Link:
-        """Return some link: of callers, to the store, to the advice or to a VM."""
+        """Return a random link: of callers, to the store, to the advice service or to a VM."""
         links = self.nodes.links + list((self.standin.links or {}).values())
         return self.rng.choice(links)
 
     async def back(self, nodes: list[Node], after: float) -> None:
-        """Start processes again after some seconds."""
+        """Start processes again after a delay in seconds."""
         await asyncio.sleep(after)
         if not self.ending:
             await self.nodes.start(nodes)
@@ -86,7 +86,7 @@
 
 
 async def kill_one(target: Target) -> None:
-    """Kill one process."""
+    """Kill a process and start it again."""
     node = target.one()
     if node is not None:
         await node.kill()
@@ -95,16 +95,16 @@
 
 async def kill_all(target: Target) -> None:
     """Kill all processes at once."""
-    rows = target.nodes.running()
-    await asyncio.gather(*(node.kill() for node in rows))
-    await target.back(rows, target.rng.uniform(0.2, 1.5))
+    nodes = target.nodes.running()
+    await asyncio.gather(*(node.kill() for node in nodes))
+    await target.back(nodes, target.rng.uniform(0.2, 1.5))
 
 
 async def power_lost(target: Target) -> None:
     """Kill all processes at once, some milliseconds after a job was accepted."""
     target.accepted.clear()
     try:
-        async with asyncio.timeout(ACCEPTANCE_LIMIT):
+        async with asyncio.timeout(ACCEPTANCE_TIMEOUT_S):
             await target.accepted.wait()
     except TimeoutError:
         return
@@ -113,14 +113,14 @@
 
 
 async def leaders_killed(target: Target) -> None:
-    """Kill one leader after the other while writes are late, lost or carried out later.
+    """Kill several leaders in succession while writes are delayed, lost or deferred.
 
-    One series at a time, and none that waits for another one: that would outlast the load.
+    It runs once at a time. A second one doesn't wait for the first, as it would outlast the load.
     """
     if target.series.locked():
         return
     async with target.series:
-        for _ in range(target.rng.randint(*LEADERS_KILLED)):
+        for _ in range(target.rng.randint(*LEADER_KILLS)):
             _disturb_writes(target)
             await asyncio.sleep(target.rng.uniform(1.0, 4.0))
             leader = target.leader()
@@ -138,7 +138,7 @@
 
 
 async def freeze(target: Target) -> None:
-    """Stop a process for a while, and let it go on."""
+    """Freeze a process by ``SIGSTOP`` for some seconds."""
     node = target.one()
     if node is not None:
         node.signal(signal.SIGSTOP)
@@ -147,38 +147,41 @@
 
 
 async def planned_stop(target: Target) -> None:
-    """Stop a process as planned; it ends in time and with code 0."""
+    """Stop a process gracefully; it has to end in time and with exit code 0."""
     node = target.one()
     if node is not None:
-        allowed = await _allowed_codes(node)
+        allowed = await _allowed_exit_codes(node)
         node.signal(signal.SIGTERM)
-        await _ends(target, node, allowed)
+        await _await_stop(target, node, allowed)
+
 
+async def _allowed_exit_codes(node: Node) -> tuple[int, ...]:
+    """Return the allowed exit codes of a graceful stop.
 
-async def _allowed_codes(node: Node) -> tuple[int, ...]:
-    """Return the codes of a planned stop; the signal ends a process that has not started yet."""
-    life = node.lives
-    started = await node.listens() and node.lives == life
+    They include that of the signal for a process that has not installed its handlers yet.
+    """
+    start_count = node.lives
+    started = await node.listens() and node.lives == start_count
     return (0, -signal.SIGKILL) if started else (0, -signal.SIGKILL, -signal.SIGTERM)
 
 
-async def _ends(target: Target, node: Node, allowed: tuple[int, ...]) -> None:
-    """See that a process that is to stop ends in time, and start it again."""
+async def _await_stop(target: Target, node: Node, allowed: tuple[int, ...]) -> None:
+    """Check that a stopping process ends in time and with an allowed code, and restart it."""
     process = node.process
     assert process is not None
     try:
-        async with asyncio.timeout(STOP_LIMIT):
+        async with asyncio.timeout(STOP_TIMEOUT_S):
             code = await process.wait()
         if code not in allowed:
             target.wrong.append(f"{node.name} ended with {code} on a planned stop")
     except TimeoutError:
-        # A freeze of the same process may have come between.
+        # The same process may have been frozen in between.
         await node.kill()
     await target.back([node], target.rng.uniform(0.1, 1.0))
 
 
 async def stop_cut_short(target: Target) -> None:
-    """Kill a process some time after it was told to stop."""
+    """Kill a process during its graceful stop."""
     node = target.one()
     if node is not None:
         node.signal(signal.SIGTERM)
@@ -188,19 +191,19 @@
 
 
 async def frozen_while_stopping(target: Target) -> None:
-    """Tell a process to stop while it is frozen, and let it go on later."""
+    """Ask a frozen process to stop, and unfreeze it later."""
     node = target.one()
     if node is not None:
-        allowed = await _allowed_codes(node)
+        allowed = await _allowed_exit_codes(node)
         node.signal(signal.SIGSTOP)
         node.signal(signal.SIGTERM)
         await asyncio.sleep(target.rng.uniform(0.2, 4.0))
         node.signal(signal.SIGCONT)
-        await _ends(target, node, allowed)
+        await _await_stop(target, node, allowed)
 
 
 async def killed_while_starting(target: Target) -> None:
-    """Kill a process, and again while it starts."""
+    """Kill a process, and kill it again while it starts."""
     node = target.one()
     if node is not None:
         await node.kill()
@@ -211,7 +214,7 @@
 
 
 async def settings_change_while_stopping(target: Target) -> None:
-    """Change settings again and again, and tell the process to stop in the middle."""
+    """Reload the settings of a process several times while it is asked to stop."""
     node = target.one()
     if node is None or not await node.listens():
         return
@@ -220,11 +223,11 @@
         await asyncio.sleep(target.rng.uniform(0.0, 0.05))
     node.signal(signal.SIGTERM)
     await node.reload(valid=True)
-    await _ends(target, node, (0, -signal.SIGKILL))
+    await _await_stop(target, node, (0, -signal.SIGKILL))
 
 
 async def settings_change(target: Target) -> None:
-    """Change a settings file, badly at times."""
+    """Reload invalid settings, and then valid ones."""
     node = target.one()
     if node is not None and await node.listens():
         await node.reload(valid=False)
@@ -233,61 +236,61 @@
 
 
 async def store_down(target: Target) -> None:
-    """Let the store refuse everybody."""
+    """Make the store unreachable."""
     target.standin.store.down = True
     await asyncio.sleep(target.rng.uniform(1.0, 6.0))
     target.standin.store.down = False
 
 
 async def store_slow(target: Target) -> None:
-    """Let the store answer slowly."""
+    """Make the store slow."""
     target.standin.store.latency = target.rng.uniform(0.1, 0.3)
     await asyncio.sleep(target.rng.uniform(1.0, 4.0))
-    target.standin.store.latency = USUAL_LATENCY
+    target.standin.store.latency = USUAL_LATENCY_S
 
 
 async def answers_lost(target: Target) -> None:
-    """Let the store carry calls out and break off instead of answering."""
+    """Let the store execute some calls and cut the connection instead of replying."""
     target.standin.store.lost = 0.3
     await asyncio.sleep(target.rng.uniform(1.0, 4.0))
     target.standin.store.lost = 0.0
 
 
 async def writes_late(target: Target) -> None:
-    """Let writes arrive late, so that they overtake one another."""
+    """Delay writes, so that they overtake one another."""
     target.standin.crossing.late = target.rng.uniform(0.05, 0.6)
     await asyncio.sleep(target.rng.uniform(1.0, 6.0))
     target.standin.crossing.late = 0.0
 
 
 async def writes_dropped(target: Target) -> None:
-    """Let some writes never arrive."""
+    """Lose some writes before they arrive."""
     target.standin.crossing.dropped = target.rng.uniform(0.2, 0.5)
     await asyncio.sleep(target.rng.uniform(1.0, 6.0))
     target.standin.crossing.dropped = 0.0
 
 
 async def writes_deferred(target: Target) -> None:
-    """Let some writes be carried out seconds later, without an answer."""
+    """Let some writes be executed seconds later, without a reply."""
     target.standin.crossing.deferred = target.rng.uniform(0.2, 0.5)
     await asyncio.sleep(target.rng.uniform(1.0, 6.0))
     target.standin.crossing.deferred = 0.0
 
 
 async def history_forgotten(target: Target) -> None:
-    """Let the store forget all but the newest records."""
+    """Trim the history of the store's topics to the newest record of each key."""
     target.standin.store.forget_history()
 
 
 async def orders_late(target: Target) -> None:
-    """Let VMs carry some orders out seconds later, after newer ones, without an answer."""
+    """Let VMs execute some requests seconds later, after newer ones, without a reply."""
     target.standin.cell.late_orders = 0.06
     await asyncio.sleep(target.rng.uniform(2.0, 6.0))
     target.standin.cell.late_orders = 0.0
 
 
 async def vm_crash(target: Target) -> None:
-    """End a VM's life; a new one comes at another address."""
+    """Crash a VM, and add a new one at another address later."""
     vm = target.vm()
     if vm is None:
         return
@@ -321,35 +324,35 @@
 
 
 async def tasks_crash(target: Target) -> None:
-    """Let some of the jobs that come now have a task that crashes each VM that starts it."""
+    """Give some of the jobs submitted meanwhile a task that crashes each VM that starts it."""
     target.standin.cell.crash_share = 0.1
     await asyncio.sleep(target.rng.uniform(2.0, 5.0))
     target.standin.cell.crash_share = 0.0
 
 
 async def capacity_shrinks(target: Target) -> None:
-    """Let a VM shrink, and grow to what it was."""
+    """Let a VM shrink, and grow again."""
     vm = target.vm()
     if vm is None:
         return
-    whole = vm.info.capacity
-    for cores in (target.rng.randint(1_000, 12_000), WHOLE_CORES):
-        target.standin.resize_worker(vm, msgspec.structs.replace(whole, cores=cores))
+    original = vm.info.capacity
+    for cores in (target.rng.randint(1_000, 12_000), FULL_MILLICORES):
+        target.standin.resize_worker(vm, msgspec.structs.replace(original, cores=cores))
         await asyncio.sleep(target.rng.uniform(1.0, 6.0))
 
 
 async def foreign_entries(target: Target) -> None:
-    """Let another writer put things beside the VMs' entries, and take them out."""
+    """Write foreign records into the topic of the VM entries, and remove them again."""
     keys = ("\udcff\udcfe", "a b&c=d", "~")
     for key in keys:
-        target.standin.list_foreign(key, target.rng.choice(FOREIGN))
+        target.standin.list_foreign(key, target.rng.choice(FOREIGN_VALUES))
     await asyncio.sleep(target.rng.uniform(1.0, 6.0))
     for key in keys:
         target.standin.list_foreign(key, b"")
 
 
 async def leader_frozen(target: Target) -> None:
-    """Stop the leader, again and again; where its clock stands still it is suspended."""
+    """Freeze the leader repeatedly; a suspendable process loses the time on its clock as well."""
     for _ in range(target.rng.randint(1, 3)):
         node = target.leader()
         if node is not None:
@@ -360,57 +363,57 @@
 
 
 async def vms_restart(target: Target) -> None:
-    """Let one VM or several start again under their ids, some before anybody has missed them."""
+    """Restart one or several VMs under the same id, some before their crash is noticed."""
     for _ in range(target.rng.choice((1, 3))):
         vm = target.vm()
         if vm is not None:
-            target.spawn(_restart(target, vm, target.rng.choice(BACK_AFTER)))
+            target.spawn(_restart(target, vm, target.rng.choice(RESTART_DELAYS_S)))
         await asyncio.sleep(target.rng.uniform(0.0, 0.3))
 
 
 async def vm_restarts_in_series(target: Target) -> None:
-    """Let one VM start again and again, smaller at times."""
+    """Restart one VM repeatedly, sometimes with a smaller capacity."""
     vm = target.vm()
     if vm is None:
         return
     for _ in range(target.rng.randint(2, 5)):
         newest = target.standin.cell.newest(vm.info.name)
-        cores = target.rng.choice((WHOLE_CORES, WHOLE_CORES, 9_000))
-        await _restart(target, newest, target.rng.choice(BACK_AFTER[:3]), cores)
+        cores = target.rng.choice((FULL_MILLICORES, FULL_MILLICORES, 9_000))
+        await _restart(target, newest, target.rng.choice(RESTART_DELAYS_S[:3]), cores)
         await asyncio.sleep(target.rng.uniform(0.1, 1.5))
     target.standin.resize_worker(target.standin.cell.newest(vm.info.name), vm.info.capacity)
 
 
-async def _restart(target: Target, vm: Vm, after: float, cores: int = WHOLE_CORES) -> None:
+async def _restart(target: Target, vm: Vm, after: float, cores: int = FULL_MILLICORES) -> None:
     capacity = msgspec.structs.replace(vm.info.capacity, cores=cores)
     await target.standin.restart_worker(vm, after, capacity)
 
 
 async def vms_restart_beside_leaders_killed(target: Target) -> None:
-    """Let VMs start again, while one leader after the other is killed."""
-    again = asyncio.ensure_future(leaders_killed(target))
-    while not again.done():
+    """Restart VMs while several leaders are killed in succession."""
+    kills = asyncio.ensure_future(leaders_killed(target))
+    while not kills.done():
         await vms_restart(target)
         await asyncio.sleep(target.rng.uniform(0.5, 3.0))
 
 
 async def vms_restart_while_the_store_is_down(target: Target) -> None:
-    """Let VMs start again of which no entry tells before the store is back."""
-    down = asyncio.ensure_future(store_down(target))
+    """Restart VMs during a store outage, so that their new entries appear only after it."""
+    outage = asyncio.ensure_future(store_down(target))
     await asyncio.sleep(target.rng.uniform(0.0, 0.5))
     await vms_restart(target)
-    await down
+    await outage
 
 
 async def tasks_crash_vms_whose_ids_stay(target: Target) -> None:
-    """Let tasks crash VMs that start again under their ids."""
+    """Let tasks crash VMs that restart under the same id."""
     target.standin.ids_stay = True
     await tasks_crash(target)
     await asyncio.sleep(target.rng.uniform(1.0, 4.0))
     target.standin.ids_stay = False
 
 
-FOREIGN = (b"\xff\xfe", b"{}", b"null", b'{"service":"desk","addr":7}', b"[" * 2_000)
+FOREIGN_VALUES = (b"\xff\xfe", b"{}", b"null", b'{"service":"desk","addr":7}', b"[" * 2_000)
 
 VM_FAULTS: tuple[Fault, ...] = (
     tasks_crash,
@@ -419,8 +422,8 @@
     leader_frozen,
     leaders_killed,
 )
-"""Faults of VMs and of what runs on them, beside changes of leader; a table of their own, so that
-what a seed draws from the other stays what it was."""
+"""Faults of VMs and of the tasks on them, along with changes of leader. They have a table of their
+own so that the faults which a seed draws from ``FAULTS`` don't change."""
 
 LIFE_FAULTS: tuple[Fault, ...] = (
     vms_restart,
@@ -436,5 +439,5 @@
     kill_one,
     freeze,
 )
-"""VMs that start again under their ids, beside what befalls processes and the store; a table of
-their own for the same reason."""
+"""Restarts of VMs under the same id, along with faults of processes and the store. They have a
+table of their own for the same reason."""
--- a/benchmarks/node_processes.py
+++ b/benchmarks/node_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of the product, as the platform starts them, against the stand-in platform."""
+"""Real processes of the product, started as by the platform, against the stand-in platform."""
 
 import asyncio
 import json
@@ -18,20 +18,20 @@
 __all__ = ["Node", "Nodes"]
 
 ROOT = Path(__file__).parents[1]
-SOURCE = Path(__file__).parents[1] / "src" / "sablemount_node.py"
-LOOPBACK = "127.{}.0.{}"
-"""Each process of each soak has a loopback address of its own: the port of its metrics is fixed."""
+PROGRAM = Path(__file__).parents[1] / "src" / "sablemount_node.py"
+LOOPBACK_PATTERN = "127.{}.0.{}"
+"""Each process has a loopback address of its own, because its metrics port is fixed."""
 NETWORKS = 250
-SMALL = {"cpuShare": 0.5, "cores": 1, "memoryMb": 200, "maxFds": 4000, "linkMbps": 10}
-"""What every third process is told that its machine gives: it leaves the lead to others."""
-SMALL_EVERY = 3
+SMALL_LIMITS = {"cpuShare": 0.5, "cores": 1, "memoryMb": 200, "maxFds": 4000, "linkMbps": 10}
+"""Machine limits in the settings of every third process, which make it unsuitable as leader."""
+SMALL_ONE_IN = 3
 GUARD_HOST = 254
 GUARD_PORT = 11_999
-"""Where a soak listens that uses a network, so that no other one takes the same."""
+"""Address at which a soak binds a socket to reserve its network against other soaks."""
 
 
 class Node:
-    """One process, started again and again under the same name and addresses."""
+    """A process that can be restarted under the same name and addresses."""
 
     def __init__(
         self,
@@ -43,26 +43,26 @@
         small: bool = False,
     ) -> None:
         self.name = name
-        self._program = ["-m", "benchmarks.suspendable"] if suspendable else []
-        """What runs the program; a stop then stands for a suspension of its machine."""
+        self._wrapper = ["-m", "benchmarks.suspendable"] if suspendable else []
+        """Module that runs the program, if any; ``SIGSTOP`` then acts like a suspended machine."""
         self.front = f"{host}:{free_port()}"
         self.called_at = self.front
-        """Where callers call: another address if a link passes their calls on."""
+        """Address for callers; it differs from ``front`` if a link forwards their calls."""
         self.ready = f"{host}:{free_port()}"
         self.process: asyncio.subprocess.Process | None = None
         self.exits: list[int] = []
-        """Exit codes of ends that nobody ordered."""
+        """Exit codes of processes that were neither stopped nor killed by the soak."""
         self.lives = 0
-        """How often it was started."""
+        """Number of starts; it identifies the current process in the sets below."""
         self.stopped: set[int] = set()
-        """Lives that were asked for a planned stop."""
+        """Starts whose process was asked to stop gracefully."""
         self.killed: set[int] = set()
         self.frozen: set[int] = set()
-        self._starting = asyncio.Lock()
-        self._settings = folder / f"{name}.json"
+        self._start_lock = asyncio.Lock()
+        self._settings_file = folder / f"{name}.json"
         self.log = folder / f"{name}.log"
         port = free_port()
-        self._boot: dict[str, Any] = {
+        self._boot_settings: dict[str, Any] = {
             "nodeName": name,
             "ip": host,
             "listen": {"front": self.front, "ready": self.ready},
@@ -70,53 +70,53 @@
             "platform": {"addr": standin.store_address},
             "advice": standin.advice_address,
             "bounds": {"graceS": 6},
-            "limits": SMALL if small else {},
+            "limits": SMALL_LIMITS if small else {},
         }
 
     def link(self, rng: random.Random) -> list[Link]:
-        """Have what callers, the store and the advice say to the process go over links."""
+        """Route the connections of callers, the store and the advice service over links."""
         front = Link(self.front, rng)
-        store = Link(str(self._boot["platform"]["addr"]), rng)
-        advice = Link(str(self._boot["advice"]), rng)
+        store = Link(str(self._boot_settings["platform"]["addr"]), rng)
+        advice = Link(str(self._boot_settings["advice"]), rng)
         self.called_at = front.address
-        self._boot["platform"] = {"addr": store.address}
-        self._boot["advice"] = advice.address
+        self._boot_settings["platform"] = {"addr": store.address}
+        self._boot_settings["advice"] = advice.address
         return [front, store, advice]
 
     async def start(self) -> None:
-        """Start the process with its settings file, unless it runs."""
-        async with self._starting:
+        """Start the process with its settings file, unless it is running."""
+        async with self._start_lock:
             if not self.running:
                 await self._start()
 
     async def _start(self) -> None:
-        self._write(json.dumps(self._boot))
+        self._write(json.dumps(self._boot_settings))
         self.lives += 1
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
-                *self._program,
-                str(SOURCE),
+                *self._wrapper,
+                str(PROGRAM),
                 cwd=ROOT,
-                env={**os.environ, "SABLEMOUNT_BOOT": str(self._settings)},
+                env={**os.environ, "SABLEMOUNT_BOOT": str(self._settings_file)},
                 stdout=log,
                 stderr=log,
             )
         asyncio.ensure_future(self._watch(self.process, self.lives))
 
-    async def _watch(self, process: asyncio.subprocess.Process, life: int) -> None:
+    async def _watch(self, process: asyncio.subprocess.Process, start_count: int) -> None:
         code = await process.wait()
-        if life not in self.stopped | self.killed:
+        if start_count not in self.stopped | self.killed:
             self.exits.append(code)
 
     def _write(self, settings: str) -> None:
-        """Put another settings file in the place of the one that is there."""
-        beside = self._settings.with_suffix(".new")
-        beside.write_text(settings)
-        beside.replace(self._settings)
+        """Replace the settings file atomically."""
+        new_file = self._settings_file.with_suffix(".new")
+        new_file.write_text(settings)
+        new_file.replace(self._settings_file)
 
     async def listens(self) -> bool:
-        """Tell whether the process has started, so that it handles signals."""
+        """Return whether the process accepts connections, and so handles signals."""
         host, _, port = self.ready.rpartition(":")
         try:
             _, writer = await asyncio.open_connection(host, int(port))
@@ -127,11 +127,11 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether the process has not ended."""
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process that was started here."""
+        """Send a signal to the process, if it is running, and remember it for its exit code."""
         if self.process is not None and self.running:
             if number == signal.SIGTERM:
                 self.stopped.add(self.lives)
@@ -142,14 +142,14 @@
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait until it has ended."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
     async def reload(self, valid: bool) -> None:
-        """Write the settings file anew, well-formed or not, and say so."""
-        self._write(json.dumps(self._boot) if valid else '{"nodeName": 7}')
+        """Write valid or invalid settings, and signal the process to reload them."""
+        self._write(json.dumps(self._boot_settings) if valid else '{"nodeName": 7}')
         self.signal(signal.SIGHUP)
 
 
@@ -161,11 +161,11 @@
         self.rows = [
             Node(
                 f"n{number}",
-                LOOPBACK.format(network, number + 1),
+                LOOPBACK_PATTERN.format(network, number + 1),
                 folder,
                 standin,
                 suspendable=number % 2 == 1,
-                small=number % SMALL_EVERY == 0,
+                small=number % SMALL_ONE_IN == 0,
             )
             for number in range(count)
         ]
@@ -173,21 +173,21 @@
         self.links: list[Link] = []
 
     def link(self, rng: random.Random) -> None:
-        """Put a link before each address that the processes call or are called at by callers."""
+        """Insert a link before each address that the processes call or that callers call."""
         for node in self.rows:
             self.links += node.link(rng)
 
     def running(self) -> list[Node]:
-        """Return those that have not ended."""
+        """Return the running processes."""
         return [node for node in self.rows if node.running]
 
     async def start(self, nodes: Iterable[Node] | None = None) -> None:
-        """Start processes; all of them unless some are named."""
+        """Start the given processes, or all."""
         for node in self.rows if nodes is None else nodes:
             await node.start()
 
     async def close(self) -> None:
-        """Kill what still runs of the processes started here."""
+        """Kill the processes that are still running, and close the links."""
         for node in self.running():
             node.signal(signal.SIGCONT)
             await node.kill()
@@ -197,12 +197,12 @@
 
 
 def _free_network() -> tuple[int, socket.socket]:
-    """Return a loopback network that no other soak uses, and what keeps it for this one."""
+    """Return the number of a free loopback network, and the socket that reserves it."""
     for attempt in range(NETWORKS):
         network = 1 + (os.getpid() + attempt) % NETWORKS
         guard = socket.socket()
         try:
-            guard.bind((LOOPBACK.format(network, GUARD_HOST), GUARD_PORT))
+            guard.bind((LOOPBACK_PATTERN.format(network, GUARD_HOST), GUARD_PORT))
         except OSError:
             guard.close()
             continue
