--- a/benchmarks/soak_callers.py
+++ b/benchmarks/soak_callers.py
@@ -1,4 +1,4 @@
-"""The callers of a soak: they hand jobs in, cancel some, ask for states, and note all answers."""
+"""The callers of a soak: they submit, cancel and query jobs, and check all replies."""
 
 import asyncio
 import json
@@ -18,31 +18,31 @@
 __all__ = ["KEYS", "Callers"]
 
 CANCEL_SHARE = 0.08
-CALL_TIMEOUT = 3.0
-TRIES = 8
-RETRY_PAUSE = 0.4
+CALL_TIMEOUT_S = 3.0
+MAX_ATTEMPTS = 8
+RETRY_DELAY_S = 0.4
 KEYS = {"rueda": "rueda-2m4kx0", "yard": "yard-8s1vq7"}
-"""Organisations of the callers; the first one has a cap."""
-STRANGER = "stranger-0c5zt3"
-"""A key that nobody ever gave out."""
-STRANGER_SHARE = 0.05
-"""Share of the jobs beside which a stranger calls."""
+"""Key of each organisation; the first organisation has a cap."""
+UNKNOWN_KEY = "stranger-0c5zt3"
+"""A key that was never issued."""
+UNKNOWN_KEY_SHARE = 0.05
+"""Share of the jobs for which a caller with an unknown key makes calls as well."""
 REFUSED = (429, 503)
-REPEAT_SHARE = 0.05
-"""Share of the accepted jobs that are handed in once more, seconds later."""
-REPEAT_AFTER = (0.1, 6.0)
-ASK_SHARE = 0.5
-"""Share of the accepted jobs whose state is asked for on the way."""
-ASKED = 4
-"""How often then."""
-ASK_AFTER = (0.5, 6.0)
-"""Seconds between two such questions."""
-CUT_SLACK = 0.2
-"""Seconds within which a call may meet the end of its connection."""
+RESUBMIT_SHARE = 0.05
+"""Share of the accepted jobs that are submitted again, seconds later."""
+RESUBMIT_DELAY_S = (0.1, 6.0)
+QUERY_SHARE = 0.5
+"""Share of the accepted jobs whose state is queried while they run."""
+QUERIES_PER_JOB = 4
+"""Number of these queries per job."""
+QUERY_INTERVAL_S = (0.5, 6.0)
+"""Range of seconds between two of these queries."""
+MAX_CUT_WAIT_S = 0.2
+"""Seconds from its start within which a call may be cut by a graceful stop."""
 
 
 class Callers:
-    """Callers of two organisations, strangers, and those who keep their connections."""
+    """Callers of two organisations, with unknown keys, and with open connections."""
 
     def __init__(self, rng: random.Random, nodes: Nodes, standin: Standin, target: Target) -> None:
         self.rng = rng
@@ -50,78 +50,83 @@
         self.standin = standin
         self.target = target
         self.seen: Counter[str] = Counter()
-        """Answers, by what was asked and their status; 0 without one."""
+        """Number of replies by kind of call and status; the status is 0 without a reply."""
         self.verdicts = Verdicts(standin.cell)
-        self._strange: set[str] = set()
-        """Jobs that strangers handed in."""
-        self._let_in: list[str] = []
-        """What strangers were answered with success."""
-        self._jobs = 0
+        self._unauthorised_jobs: set[str] = set()
+        """Jobs submitted with an unknown key."""
+        self._unauthorised_successes: list[str] = []
+        """Calls with an unknown key that succeeded."""
+        self._job_count = 0
         self._client = AsyncHTTPClient(force_instance=True, max_clients=200)
         self._tasks: set[asyncio.Task[None]] = set()
 
-    # -- Work beside -------------------------------------------------------------------------
+    # -- Background work ---------------------------------------------------------------------
 
     def spawn(self, work: object) -> None:
-        """Let something go on beside, which is waited for in the end."""
+        """Run a coroutine in the background; ``wait`` waits for it."""
         task = asyncio.ensure_future(work)  # type: ignore[arg-type, var-annotated]
         self._tasks.add(task)
 
     async def wait(self) -> None:
-        """Wait until all callers are done."""
+        """Wait until all background work is done."""
         while pending := [task for task in self._tasks if not task.done()]:
             await asyncio.wait(pending)
 
     def wrong(self) -> list[str]:
-        """Return what is wrong with the answers, and with what was started for whom."""
+        """Return the violations of access control and of refusals, and exceptions of callers."""
         started = {task.split(".")[0] for task in self.standin.cell.starts}
-        wrong = [f"a stranger was let in: {call}" for call in self._let_in]
-        wrong += [f"a stranger's job was started: {job}" for job in sorted(self._strange & started)]
+        wrong = [
+            f"a call with an unknown key succeeded: {call}" for call in self._unauthorised_successes
+        ]
+        wrong += [
+            f"a job submitted with an unknown key was started: {job}"
+            for job in sorted(self._unauthorised_jobs & started)
+        ]
         refused = sorted(self.verdicts.refused & started)
-        wrong += [f"refused, yet started: {job}" for job in refused]
-        broken = [task.exception() for task in self._tasks if task.done()]
-        wrong += [f"a caller broke off: {error!r}" for error in broken if error is not None]
+        wrong += [f"refused, but started: {job}" for job in refused]
+        errors = [task.exception() for task in self._tasks if task.done()]
+        wrong += [f"a caller raised {error!r}" for error in errors if error is not None]
         return wrong
 
     async def unfinished(self) -> list[str]:
-        """Return the accepted jobs that have not ended as they should."""
-        found = []
+        """Return the accepted jobs that are not in an allowed final state."""
+        unfinished = []
         for job in sorted(self.verdicts.accepted):
-            state = await self._state(job)
+            state = await self._query_state(job)
             if not self.verdicts.ended_as_due(job, state):
-                found.append(f"{job} is {state}")
-        return found
+                unfinished.append(f"{job} is {state}")
+        return unfinished
 
     # -- Calls -------------------------------------------------------------------------------
 
     def _next_job(self) -> str:
-        self._jobs += 1
-        return f"{self._jobs:016x}"
+        self._job_count += 1
+        return f"{self._job_count:016x}"
 
-    def _make_job(self, job: str) -> tuple[dict[str, object], str]:
-        """Return what a caller hands in, and its key."""
-        body = self._job()
+    def _register_job(self, job: str) -> tuple[dict[str, object], str]:
+        """Register a random job for a random organisation; return its body and key."""
+        body = self._random_body()
         owner = self.rng.choice(list(KEYS))
         self.standin.cell.hand_in(job, decode_job(json.dumps(body).encode()))
         self.standin.cell.owners[job] = owner
         return body, KEYS[owner]
 
     async def hand_in(self) -> None:
-        """Hand a job in until it is taken or refused for good, and cancel some."""
+        """Submit a job with retries; cancel or resubmit some of the accepted ones."""
         job = self._next_job()
-        body, _ = self._make_job(job)
-        if self.rng.random() < STRANGER_SHARE:
-            self.spawn(self._stranger(job))
+        body, _ = self._register_job(job)
+        if self.rng.random() < UNKNOWN_KEY_SHARE:
+            self.spawn(self._call_with_unknown_key(job))
         uncertain = False
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             self.verdicts.tried(job, self.standin.store.down)
-            code = await self._call("POST", PREFIX + job, body)
+            code = await self._send_for_status("POST", PREFIX + job, body)
             self.seen[f"submit {code}"] += 1
             if code in ACCEPTED:
-                self._accepted(job)
+                self._on_accepted(job)
                 break
             uncertain = uncertain or code not in REFUSED
-            await asyncio.sleep(RETRY_PAUSE)
+            await asyncio.sleep(RETRY_DELAY_S)
         else:
             if not uncertain:
                 self.verdicts.refused.add(job)
@@ -129,9 +134,9 @@
         if self.rng.random() < CANCEL_SHARE:
             self.verdicts.cancelled.add(job)
             await self._cancel(job)
-        elif self.rng.random() < REPEAT_SHARE:
-            await asyncio.sleep(self.rng.uniform(*REPEAT_AFTER))
-            self.seen[f"repeat {await self._call('POST', PREFIX + job, body)}"] += 1
+        elif self.rng.random() < RESUBMIT_SHARE:
+            await asyncio.sleep(self.rng.uniform(*RESUBMIT_DELAY_S))
+            self.seen[f"repeat {await self._send_for_status('POST', PREFIX + job, body)}"] += 1
 
     async def _cancel(self, job: str) -> None:
         answer = await self._send("DELETE", job)
@@ -140,59 +145,59 @@
             state = str(json.loads(answer.body)["state"])
             self.verdicts.cancel_told(job, state, time.monotonic())
 
-    def _accepted(self, job: str) -> None:
-        """Note an acceptance, and ask for the job's state at times from now on."""
+    def _on_accepted(self, job: str) -> None:
+        """Record an acceptance, and query the states of some of these jobs from now on."""
         self.verdicts.taken(job, time.monotonic())
         self.target.accepted.set()
-        if self.rng.random() < ASK_SHARE:
-            self.spawn(self._ask_often(job))
+        if self.rng.random() < QUERY_SHARE:
+            self.spawn(self._query_repeatedly(job))
 
-    async def _ask_often(self, job: str) -> None:
-        for _ in range(ASKED):
-            await asyncio.sleep(self.rng.uniform(*ASK_AFTER))
-            await self._state(job)
+    async def _query_repeatedly(self, job: str) -> None:
+        for _ in range(QUERIES_PER_JOB):
+            await asyncio.sleep(self.rng.uniform(*QUERY_INTERVAL_S))
+            await self._query_state(job)
 
     async def keep_connection(self, node: Node, end: float) -> None:
-        """Hand jobs in and ask for them over one connection for as long as it lasts."""
-        connection = OpenConnection(node, self._cut)
+        """Submit and query jobs over one connection for as long as it stays open."""
+        connection = OpenConnection(node, self._on_cut)
         while time.monotonic() < end:
             job = self._next_job()
-            body, key = self._make_job(job)
+            body, key = self._register_job(job)
             answer = await connection.call("POST", job, body, key)
             self.seen[f"open submit {0 if answer is None else answer.code}"] += 1
             if answer is not None and answer.code in ACCEPTED:
-                self._accepted(job)
+                self._on_accepted(job)
             elif answer is not None and answer.code in REFUSED:
                 self.verdicts.refused.add(job)
             asked_at = time.monotonic()
             answer = await connection.call("GET", job, None, key)
             if answer is not None:
-                self._told(job, answer, asked_at, node)
+                self._check_reply(job, answer, asked_at, node)
         connection.close()
 
-    def _cut(self, cut: Cut) -> None:
-        """Note a call without an answer; a planned stop is no reason to cut one."""
+    def _on_cut(self, cut: Cut) -> None:
+        """Record a call without a reply; a graceful stop must not cut one."""
         self.seen["open cut"] += 1
         node, life = cut.node, cut.life
         planned = life in node.stopped and life not in node.killed | node.frozen
-        if planned and cut.waited > CUT_SLACK:
+        if planned and cut.waited > MAX_CUT_WAIT_S:
             wrong = f"{node.name} cut a call after {cut.waited:.2f} s on a planned stop"
             self.target.wrong.append(wrong)
 
-    async def _stranger(self, job: str) -> None:
-        """Hand in a job, and ask for somebody's and cancel it, without a key that is known."""
-        own = f"5{job[1:]}"
-        body = self._job()
-        self._strange.add(own)
-        self.standin.cell.jobs[own] = decode_job(json.dumps(body).encode())
-        for method, name in (("POST", own), ("GET", job), ("DELETE", job)):
-            sent = body if method == "POST" else None
-            code = (await self._fetch(method, PREFIX + name, sent, STRANGER)).code
+    async def _call_with_unknown_key(self, job: str) -> None:
+        """Submit a job, and query and cancel another caller's job, with an unknown key."""
+        own_job = f"5{job[1:]}"
+        body = self._random_body()
+        self._unauthorised_jobs.add(own_job)
+        self.standin.cell.jobs[own_job] = decode_job(json.dumps(body).encode())
+        for method, name in (("POST", own_job), ("GET", job), ("DELETE", job)):
+            payload = body if method == "POST" else None
+            code = (await self._fetch(method, PREFIX + name, payload, UNKNOWN_KEY)).code
             self.seen[f"stranger {code}"] += 1
             if code in ACCEPTED:
-                self._let_in.append(f"{method} {name}")
+                self._unauthorised_successes.append(f"{method} {name}")
 
-    def _job(self) -> dict[str, object]:
+    def _random_body(self) -> dict[str, object]:
         step: dict[str, object] = {
             "count": self.rng.randint(1, 4),
             "cpu": self.rng.choice((500, 1000, 4000)),
@@ -209,12 +214,12 @@
             steps.append({"count": 1, "cpu": 500, "memMb": 64, "dependsOn": [0]})
         return {"spec": "payload", "steps": steps}
 
-    async def _call(self, method: str, path: str, body: object = None) -> int:
-        """Return the status of an answer; 0 without one."""
+    async def _send_for_status(self, method: str, path: str, body: object = None) -> int:
+        """Make a call and return the status of its reply; 0 without a reply."""
         return (await self._send(method, path.rpartition("/")[2], body)).code
 
     async def _send(self, method: str, job: str, body: object = None) -> Answer:
-        """Make a call about a job, under its caller's key."""
+        """Make a call about a job with the key of its organisation."""
         key = KEYS[self.standin.cell.owners[job]]
         return await self._fetch(method, PREFIX + job, body, key)
 
@@ -237,24 +242,24 @@
                     "Deadline-Ms": "3000",
                     "Authorization": f"Bearer {key}",
                 },
-                request_timeout=CALL_TIMEOUT,
-                connect_timeout=CALL_TIMEOUT,
+                request_timeout=CALL_TIMEOUT_S,
+                connect_timeout=CALL_TIMEOUT_S,
                 raise_error=False,
             )
         except (OSError, HTTPError):
             return Answer(0, b"")
-        # The client's own number for a connection that broke or took too long.
+        # 599 is the client's own status for a broken connection or a time-out.
         return Answer(0, b"") if response.code == 599 else Answer(response.code, response.body)
 
-    async def _state(self, job: str) -> str:
-        """Ask some process for a job's state, and judge its answer."""
+    async def _query_state(self, job: str) -> str:
+        """Query a random process for a job's state, and check its reply."""
         key = KEYS[self.standin.cell.owners[job]]
         node = self.rng.choice(self.nodes.rows)
         asked_at = time.monotonic()
         answer = await self._fetch("GET", PREFIX + job, None, key, node)
-        return self._told(job, answer, asked_at, node)
+        return self._check_reply(job, answer, asked_at, node)
 
-    def _told(self, job: str, answer: Answer, asked_at: float, node: Node) -> str:
+    def _check_reply(self, job: str, answer: Answer, asked_at: float, node: Node) -> str:
         state = str(json.loads(answer.body)["state"]) if answer.code == 200 else str(answer.code)
         self.verdicts.told(job, answer.code, state, asked_at, node.name)
         return state
--- a/tests/emulator/system.py
+++ b/tests/emulator/system.py
@@ -433,7 +433,7 @@
         violations += await self.unfinished()
         for name in sorted(self.refused):
             if any(task.startswith(f"{name}.") for task in self.cell.starts):
-                violations.append(f"refused, yet started: {name}")
+                violations.append(f"refused, but started: {name}")
         for name in sorted(self.accepted - self.cancelled):
             if self._may_fail(name) or self._may_fail_for_crashes(name):
                 continue
