--- a/tests/jobs/test_emulated_store.py
+++ b/tests/jobs/test_emulated_store.py
@@ -1,4 +1,4 @@
-"""The emulated store does what the platform's store was found to do when asked directly."""
+"""The emulated store behaves as the platform's store was observed to behave."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
     return Record(key, b"x" * size)
 
 
-def _keys(state: StoreState) -> list[str]:
+def _stored_keys(state: StoreState) -> list[str]:
     return [record.key for record in state.topics[Topic.JOBS].records]
 
 
@@ -27,7 +27,7 @@
         await asyncio.sleep(0.001)
         sent.cancel()
         await asyncio.sleep(0.1)
-        assert _keys(state) == ["a"]
+        assert _stored_keys(state) == ["a"]
 
     run(scenario())
 
@@ -38,9 +38,9 @@
         state.latency = 1.0
         answer = await EmulatedStore(state, "m").append(Topic.JOBS, [_record("a")], 0.3)
         assert answer == Unavailable("no answer")
-        assert _keys(state) == []
+        assert _stored_keys(state) == []
         await asyncio.sleep(1.0)
-        assert _keys(state) == ["a"]
+        assert _stored_keys(state) == ["a"]
 
     run(scenario())
 
@@ -54,7 +54,7 @@
         answers = await asyncio.gather(*calls)
         refused = [answer for answer in answers if answer == Unavailable("status 503", True)]
         assert len(refused) == 3
-        assert len(_keys(state)) == 3
+        assert len(_stored_keys(state)) == 3
 
     run(scenario())
 
@@ -72,7 +72,7 @@
     state = StoreState(random.Random(1))
     answer = state.append(Topic.JOBS, [_record("k", size) for size in sizes], None, None)
     assert isinstance(answer, Appended) is taken
-    assert len(_keys(state)) == (len(sizes) if taken else 0)
+    assert len(_stored_keys(state)) == (len(sizes) if taken else 0)
 
 
 def test_large_records_come_in_several_reads_and_pages() -> None:
--- a/tests/jobs/test_emulated_vms.py
+++ b/tests/jobs/test_emulated_vms.py
@@ -1,4 +1,4 @@
-"""Emulated VMs do of orders what the platform's do, as those were found to when asked directly."""
+"""Emulated VMs handle requests as the platform's VMs were observed to handle them."""
 
 import asyncio
 import random
@@ -15,19 +15,19 @@
 from tests.emulator.vm_ports import EmulatedVms
 from tests.emulator.vms import Cell
 
-LONG = 60.0
+LONG_TASK_S = 60.0
 FENCE = 1
 
 
 class _Rig:
-    """A cell with some VMs that are told what to do."""
+    """A cell with some VMs, and short calls for their requests."""
 
     def __init__(
         self, tasks: int = 4, gang: bool = False, vms: int = 1, saves: bool = False
     ) -> None:
         self.cell = Cell(random.Random(1))
         self.cell.fail_share = 0.0
-        self.cell.seconds = LONG
+        self.cell.seconds = LONG_TASK_S
         step = StepSpec(tasks, Shape(1_000, 1_000), gang=gang, saves=saves)
         self.cell.jobs["j"] = JobSpec("payload", (step,))
         self.vms = [self.cell.add(f"w{n}", "r", Shape(16_000, 64_000)) for n in range(vms)]
@@ -59,7 +59,7 @@
     def running(self, vm: Vm | None = None) -> list[tuple[str, int]]:
         return [(row.task, row.number) for row in (vm or self.vm).runs.values()]
 
-    def ends(self, vm: Vm | None = None) -> list[tuple[int, str]]:
+    def completions(self, vm: Vm | None = None) -> list[tuple[int, str]]:
         return [(end.run, end.outcome) for end in (vm or self.vm).ends]
 
 
@@ -82,7 +82,7 @@
         rig.stop(0, 5)
         await asyncio.sleep(0.5)
         assert rig.running() == [("j.0.0.0", 7)]
-        assert sorted(rig.ends()) == [(2, "stopped"), (5, "stopped")]
+        assert sorted(rig.completions()) == [(2, "stopped"), (5, "stopped")]
         assert rig.start(0, 4) is StartRefusal.OLD
         assert isinstance(rig.start(0, 6), Started)
 
@@ -95,7 +95,7 @@
         rig.stop(1, 5)
         assert rig.start(1, 5) is StartRefusal.OLD
         assert isinstance(rig.start(1, 6), Started)
-        assert rig.ends() == []
+        assert rig.completions() == []
 
     run(scenario())
 
@@ -120,7 +120,7 @@
         await asyncio.sleep(lasts - 0.1)
         assert len(rig.running()) == 1
         await asyncio.sleep(0.2)
-        assert rig.ends() == [(1, "lapsed")]
+        assert rig.completions() == [(1, "lapsed")]
         assert rig.start(0, 1) is StartRefusal.OLD
 
     run(scenario())
@@ -134,12 +134,12 @@
         rig.stop(0, 1)
         await asyncio.sleep(0.5)
         rig.hold()
-        assert rig.ends() == []
+        assert rig.completions() == []
 
     run(scenario())
 
 
-def test_an_order_that_comes_after_the_end_of_a_life_does_nothing() -> None:
+def test_a_start_after_the_end_of_an_incarnation_has_no_effect() -> None:
     async def scenario() -> None:
         rig = _Rig()
         rig.cell.seconds = 0.1
@@ -152,10 +152,10 @@
 
 
 def _outcomes(rig: _Rig) -> list[list[tuple[int, str]]]:
-    return [rig.ends(vm) for vm in rig.vms]
+    return [rig.completions(vm) for vm in rig.vms]
 
 
-def test_members_that_wait_in_vain_end_with_the_first_of_them() -> None:
+def test_gang_members_that_time_out_end_with_the_first_of_them() -> None:
     async def scenario() -> None:
         rig = _Rig(tasks=3, gang=True, vms=3)
         rig.start(0, 1, vm=rig.vms[0])
--- a/tests/jobs/test_watch.py
+++ b/tests/jobs/test_watch.py
@@ -169,7 +169,7 @@
     rig.assert_no_violations()
 
 
-def test_a_job_that_is_told_as_accepted() -> None:
+def test_a_job_that_is_reported_as_accepted() -> None:
     rig = _Rig([ACCEPTED])
     rig.watch.accepted(1, "a")
     rig.append([FINISHED, Record("j/a")], 1, 1)
@@ -179,7 +179,7 @@
     rig.assert_one_violation("epoch 1", "reported as accepted", "b")
 
 
-def test_an_end_that_is_shown() -> None:
+def test_a_final_state_that_is_reported() -> None:
     rig = _Rig([ACCEPTED])
     rig.watch.shown(1, "a", "running")
     rig.assert_no_violations()
@@ -190,7 +190,7 @@
     rig.assert_one_violation("epoch 1", "reported in state succeeded")
 
 
-def test_an_order_of_a_job_that_is_not_in_the_store() -> None:
+def test_a_start_request_for_a_job_that_is_not_in_the_store() -> None:
     rig = _Rig([ACCEPTED, VM_RECORD])
     rig.watch.ordered(1, "vm", "a.0.0.0")
     rig.assert_no_violations()
@@ -198,7 +198,7 @@
     rig.assert_one_violation("epoch 1", "its job is not in the store", "b.0.0.0")
 
 
-def test_an_order_on_a_vm_whose_use_is_not_in_the_store() -> None:
+def test_a_start_request_on_a_vm_whose_use_is_not_in_the_store() -> None:
     rig = _Rig([ACCEPTED, VM_RECORD])
     rig.watch.ordered(1, "other", "a.0.0.0", up=False)
     rig.assert_no_violations()
--- a/tests/test_job_verdicts.py
+++ b/tests/test_job_verdicts.py
@@ -1,4 +1,4 @@
-"""The soak's judgement of answers: each verdict on what a caller was told."""
+"""The soak's checks of replies: each violation that a reply to a caller may show."""
 
 import random
 
@@ -8,8 +8,8 @@
 from sablemount.jobs.model import JobSpec, Shape, StepSpec
 from tests.emulator.vms import Cell
 
-SOON = VISIBLE_AFTER / 2
-LATER = VISIBLE_AFTER * 2
+SOON_S = VISIBLE_AFTER / 2
+LATER_S = VISIBLE_AFTER * 2
 
 
 def _verdicts() -> Verdicts:
@@ -21,40 +21,40 @@
 def test_an_accepted_job_that_is_gone_is_told_once() -> None:
     verdicts = _verdicts()
     verdicts.taken("job", 0.0)
-    verdicts.told("job", 410, "410", LATER, "n0")
-    verdicts.told("job", 410, "410", LATER, "n1")
-    assert verdicts.wrong == [f"n0 does not know job, asked {LATER:.1f} s after acceptance"]
+    verdicts.told("job", 410, "410", LATER_S, "n0")
+    verdicts.told("job", 410, "410", LATER_S, "n1")
+    assert verdicts.wrong == [f"n0 does not know job, asked {LATER_S:.1f} s after acceptance"]
 
 
 def test_a_second_acceptance_gives_no_more_time() -> None:
     verdicts = _verdicts()
     verdicts.taken("job", 0.0)
-    verdicts.taken("job", LATER)
-    verdicts.told("job", 410, "410", LATER, "n0")
+    verdicts.taken("job", LATER_S)
+    verdicts.told("job", 410, "410", LATER_S, "n0")
     assert len(verdicts.wrong) == 1
 
 
 def test_a_job_may_be_gone_that_is_new_or_cancelled_or_was_never_accepted() -> None:
     verdicts = _verdicts()
-    verdicts.told("job", 410, "410", LATER, "n0")
+    verdicts.told("job", 410, "410", LATER_S, "n0")
     verdicts.taken("job", 0.0)
-    verdicts.told("job", 410, "410", SOON, "n0")
+    verdicts.told("job", 410, "410", SOON_S, "n0")
     verdicts.cancelled.add("job")
-    verdicts.told("job", 410, "410", LATER, "n0")
+    verdicts.told("job", 410, "410", LATER_S, "n0")
     assert verdicts.wrong == []
 
 
 def test_a_job_is_shown_as_succeeded_while_a_task_is_not_done() -> None:
     verdicts = _verdicts()
     verdicts._cell.done.add("job.0.0.0")
-    verdicts.told("job", 200, "succeeded", LATER, "n0")
+    verdicts.told("job", 200, "succeeded", LATER_S, "n0")
     assert verdicts.wrong == ["n0 shows job as succeeded without ['job.0.0.1']"]
 
 
 def test_a_job_that_was_shown_as_succeeded_is_known_to_the_vms() -> None:
     verdicts = _verdicts()
     verdicts._cell.done |= {"job.0.0.0", "job.0.0.1"}
-    verdicts.told("job", 200, "succeeded", LATER, "n0")
+    verdicts.told("job", 200, "succeeded", LATER_S, "n0")
     assert verdicts.wrong == []
     assert verdicts._cell.succeeded == {"job"}
 
@@ -62,14 +62,14 @@
 @pytest.mark.parametrize("state", ["failed", "cancelled"])
 def test_a_job_is_shown_as_ended_without_a_cause(state: str) -> None:
     verdicts = _verdicts()
-    verdicts.told("job", 200, state, LATER, "n0")
+    verdicts.told("job", 200, state, LATER_S, "n0")
     assert verdicts.wrong == [f"n0 shows job as {state} without a cause"]
 
 
 def test_what_a_caller_cancelled_may_be_shown_so() -> None:
     verdicts = _verdicts()
     verdicts.cancelled.add("job")
-    verdicts.told("job", 200, "cancelled", LATER, "n0")
+    verdicts.told("job", 200, "cancelled", LATER_S, "n0")
     assert verdicts.wrong == []
 
 
@@ -99,7 +99,7 @@
     verdicts._cell.done |= {"job.0.0.0", "job.0.0.1"}
     verdicts.cancelled.add("job")
     verdicts.cancel_told("job", left, 1.0)
-    verdicts.told("job", 200, "succeeded", LATER, "n0")
+    verdicts.told("job", 200, "succeeded", LATER_S, "n0")
     assert verdicts.wrong == wrong
 
 
@@ -114,7 +114,10 @@
 
 
 def test_what_comes_while_the_store_is_down_is_owed_no_acceptance() -> None:
-    """A soak had the store down for 6.8 of its 30 s: callers tried for 2.8 s, and gave up."""
+    """Guards against failing a soak for jobs that no process could accept.
+
+    The store was down for 6.8 s of a soak of 30 s; callers gave up after retrying for 2.8 s.
+    """
     verdicts = _verdicts()
     for number in range(10):
         verdicts.tried(f"down{number}", store_down=True)
