--- a/benchmarks/job_soak.py
+++ b/benchmarks/job_soak.py
@@ -46,8 +46,8 @@
     """Run a seed's mix of any faults; every third one has callers of organisations."""
     rng = random.Random(seed)
     chosen = [rng.choice(kinds.FAULTS) for _ in range(FAULTS_PER_MIX)]
-    run_mix = play if seed % 3 else play_organisations
-    wrong = run(run_mix(100 + seed, chosen, advice=seed % 2 == 0))
+    mix_runner = play if seed % 3 else play_organisations
+    wrong = run(mix_runner(100 + seed, chosen, advice=seed % 2 == 0))
     return Played(seed, [fault.__name__ for fault in chosen], wrong)
 
 
@@ -69,8 +69,8 @@
 
 
 def _run_mix(seed: int, chosen: list[kinds.Fault]) -> Played:
-    run_mix = play if seed % 3 else play_organisations
-    wrong = run(run_mix(seed, chosen, advice=seed % 2 == 0))
+    mix_runner = play if seed % 3 else play_organisations
+    wrong = run(mix_runner(seed, chosen, advice=seed % 2 == 0))
     return Played(seed, [fault.__name__ for fault in chosen], wrong)
 
 
--- a/benchmarks/job_verdicts.py
+++ b/benchmarks/job_verdicts.py
@@ -75,14 +75,14 @@
         if code == GONE:
             self._check_not_found(job, asked_at, node)
         elif state == "succeeded" and job in self._cancelled_at:
-            what = "as succeeded after its cancelling was acknowledged"
-            self.wrong.append(f"{node} shows {job} {what}")
+            what = "as succeeded after its cancellation was acknowledged"
+            self.wrong.append(f"{node} reports {job} {what}")
         elif state == "succeeded":
             self._check_succeeded(job, node)
         elif state == "failed" and self._may_fail_for_crashes(job):
             return
         elif state == "failed" or (state == "cancelled" and job not in self.cancelled):
-            self.wrong.append(f"{node} shows {job} as {state} without a cause")
+            self.wrong.append(f"{node} reports {job} as {state} without a cause")
 
     def _check_not_found(self, job: str, asked_at: float, node: str) -> None:
         accepted_at = self.accepted.get(job)
@@ -100,7 +100,7 @@
         tasks = [f"{job}.0.{step}.{index}" for step, spec in steps for index in range(spec.count)]
         missing = [task for task in tasks if task not in self._cell.done]
         if missing:
-            self.wrong.append(f"{node} shows {job} as succeeded without {missing}")
+            self.wrong.append(f"{node} reports {job} as succeeded without {missing}")
         self._cell.succeeded.add(job)
 
     def ended_as_due(self, job: str, state: str) -> bool:
--- a/benchmarks/node_faults.py
+++ b/benchmarks/node_faults.py
@@ -173,7 +173,7 @@
         async with asyncio.timeout(STOP_TIMEOUT_S):
             code = await process.wait()
         if code not in allowed:
-            target.wrong.append(f"{node.name} ended with {code} on a planned stop")
+            target.wrong.append(f"{node.name} ended with {code} on a graceful stop")
     except TimeoutError:
         # The same process may have been frozen in between.
         await node.kill()
--- a/benchmarks/process_soak.py
+++ b/benchmarks/process_soak.py
@@ -144,8 +144,8 @@
         wrong += verdicts.too_few(self.size.least_accepted)
         wrong += self.callers.wrong()
         for node in self.nodes.rows:
-            wrong += [f"{node.name} ended by itself with {code}" for code in node.exits]
-            wrong += [f"{node.name} told: {line}" for line in internal_errors(node.log)]
+            wrong += [f"{node.name} exited unexpectedly with {code}" for code in node.exits]
+            wrong += [f"{node.name} logged: {line}" for line in internal_errors(node.log)]
         return wrong
 
 
--- a/benchmarks/soak_callers.py
+++ b/benchmarks/soak_callers.py
@@ -178,10 +178,10 @@
     def _on_cut(self, cut: Cut) -> None:
         """Record a call without a reply; a graceful stop must not cut one."""
         self.seen["open cut"] += 1
-        node, life = cut.node, cut.life
-        planned = life in node.stopped and life not in node.killed | node.frozen
+        node, start_count = cut.node, cut.life
+        planned = start_count in node.stopped and start_count not in node.killed | node.frozen
         if planned and cut.waited > MAX_CUT_WAIT_S:
-            wrong = f"{node.name} cut a call after {cut.waited:.2f} s on a planned stop"
+            wrong = f"{node.name} cut a call after {cut.waited:.2f} s on a graceful stop"
             self.target.wrong.append(wrong)
 
     async def _call_with_unknown_key(self, job: str) -> None:
--- a/tests/emulator/mixes.py
+++ b/tests/emulator/mixes.py
@@ -27,7 +27,7 @@
 async def play(seed: int, chosen: Sequence[Fault], advice: bool = False) -> list[str]:
     """Inject faults while jobs are submitted and some of them cancelled."""
     system = System(seed, advice=advice)
-    return await _play(system, seed, chosen, system.traffic("a", 60, 0.2), _cancel_some)
+    return await _run(system, seed, chosen, system.traffic("a", 60, 0.2), _cancel_some)
 
 
 async def play_organisations(seed: int, chosen: Sequence[Fault], advice: bool = False) -> list[str]:
@@ -36,14 +36,14 @@
     system.configure(2, organisations=organisations(CAPS_MILLICORES[0]))
     callers = ("rueda", "rueda", "yard")
     traffic = system.traffic("a", 90, 0.1, callers)
-    return await _play(system, seed, chosen, traffic, _change_caps)
+    return await _run(system, seed, chosen, traffic, _change_caps)
 
 
 async def play_store(seed: int, chosen: Sequence[Fault], advice: bool = False) -> list[str]:
     """Inject faults of the store and changes of leader, with small pages for odd seeds."""
     system = System(seed, advice=advice)
     system.store.page = SMALL_PAGE_RECORDS if seed % 2 else system.store.page
-    return await _play(system, seed, chosen, system.traffic("a", 100, 0.12), _cancel_some)
+    return await _run(system, seed, chosen, system.traffic("a", 100, 0.12), _cancel_some)
 
 
 def organisations(cores: int) -> tuple[Organisation, ...]:
@@ -56,7 +56,7 @@
     )
 
 
-async def _play(
+async def _run(
     system: System,
     seed: int,
     chosen: Sequence[Fault],
--- a/tests/emulator/store.py
+++ b/tests/emulator/store.py
@@ -125,7 +125,7 @@
         """Seconds that one append takes; the appends to a topic are executed one at a time."""
         self._free_at: dict[Topic, float] = {}
         self.turns = 0
-        """Number of appends queued while ``append_time`` is set, including repeated ones."""
+        """Number of appends queued while ``append_time_s`` is set, including repeated ones."""
         self.lost = 0.0
         self.late = False
         self.appends = 0
--- a/tests/emulator/vm_ports.py
+++ b/tests/emulator/vm_ports.py
@@ -42,14 +42,16 @@
     overtake one another.
     """
 
-    def __init__(self, cell: Cell, parted: Callable[[str], bool] = lambda vm: False) -> None:
+    def __init__(
+        self, cell: Cell, is_partitioned: Callable[[str], bool] = lambda vm: False
+    ) -> None:
         self._cell = cell
-        self._parted = parted
+        self._is_partitioned = is_partitioned
         """Returns whether the member is cut off from a VM."""
         self._tasks: set[asyncio.Task[None]] = set()
 
     def _is_unreachable(self, vm: Vm) -> bool:
-        return vm.cut or self._parted(vm.info.name)
+        return vm.cut or self._is_partitioned(vm.info.name)
 
     def _draw_transit_time(self) -> float:
         """Draw the seconds that a call or a reply takes."""
@@ -172,8 +174,10 @@
 class EmulatedVms(PlatformWorkers):
     """The VMs as one member sees them, through the product's adapter."""
 
-    def __init__(self, cell: Cell, parted: Callable[[str], bool] = lambda vm: False) -> None:
-        super().__init__(VmNetwork(cell, parted))  # type: ignore[arg-type]
+    def __init__(
+        self, cell: Cell, is_partitioned: Callable[[str], bool] = lambda vm: False
+    ) -> None:
+        super().__init__(VmNetwork(cell, is_partitioned))  # type: ignore[arg-type]
 
 
 def _clock_ms(vm: Vm) -> float:
--- a/tests/emulator/watch.py
+++ b/tests/emulator/watch.py
@@ -175,9 +175,9 @@
 class WatchedState(StoreState):
     """The emulated store, which reports its appends to the checker."""
 
-    def __init__(self, rng: random.Random, watch: Watch) -> None:
+    def __init__(self, rng: random.Random, checker: Watch) -> None:
         super().__init__(rng)
-        self._watch = watch
+        self._watch = checker
 
     def append(
         self, topic: Topic, records: list[Record], producer: Producer | None, at: int | None
--- a/tests/emulator/watched.py
+++ b/tests/emulator/watched.py
@@ -20,7 +20,7 @@
 __all__ = ["WatchedMember", "WatchedVms", "watch_leader"]
 
 
-def watch_leader(leader: Leader, watch: Watch) -> None:
+def watch_leader(leader: Leader, checker: Watch) -> None:
     """Wrap a leader's load, its appends and its handling of durable batches with checks."""
     committer, scheduler, journal = leader.committer, leader.scheduler, leader.scheduler.journal
     original_append, original_load, original_durable = (
@@ -37,14 +37,14 @@
         next_sequence += bool(records)
         await original_append(records)
         if records:
-            watch.appended(epoch, sequence, records)
+            checker.appended(epoch, sequence, records)
 
     def checked_load(records: list[Record]) -> None:
-        watch.loaded(epoch, records)
+        checker.loaded(epoch, records)
         original_load(records)
 
     def checked_durable(batch: Batch) -> None:
-        watch.durable(epoch, batch.records)
+        checker.durable(epoch, batch.records)
         original_durable(batch)
 
     committer.append = checked_append
@@ -61,9 +61,9 @@
         ports: LeaderPorts,
         network: Network,
         rng: random.Random,
-        watch: Watch,
+        checker: Watch,
     ) -> None:
-        self._checker = watch
+        self._checker = checker
         super().__init__(settings, ports, network, rng)
 
     @property
@@ -92,21 +92,21 @@
     """The VMs as one member sees them; start requests and acknowledgements are checked."""
 
     def __init__(
-        self, cell: Cell, watch: Watch, parted: Callable[[str], bool] = lambda vm: False
+        self, cell: Cell, checker: Watch, is_partitioned: Callable[[str], bool] = lambda vm: False
     ) -> None:
-        super().__init__(cell, parted)
+        super().__init__(cell, is_partitioned)
         self._cell = cell
-        self._watch = watch
+        self._checker = checker
 
     async def hold(self, call: HoldCall, timeout: float) -> HoldResult:
         for end in self._cell.newest(entry_of(call.vm)).ends:
             if end.number <= call.acked_completion:
-                self._watch.acknowledged(call.fence, call.vm, end)
+                self._checker.acknowledged(call.fence, call.vm, end)
         return await super().hold(call, timeout)
 
     async def start(
         self, action: StartRun, address: str, fence: int, until_ms: int, timeout: float
     ) -> StartResult:
         up = self._cell.newest(entry_of(action.vm)).up
-        self._watch.ordered(fence, action.vm, action.task, up)
+        self._checker.ordered(fence, action.vm, action.task, up)
         return await super().start(action, address, fence, until_ms, timeout)
--- a/tests/test_job_verdicts.py
+++ b/tests/test_job_verdicts.py
@@ -48,7 +48,7 @@
     verdicts = _verdicts()
     verdicts._cell.done.add("job.0.0.0")
     verdicts.told("job", 200, "succeeded", LATER_S, "n0")
-    assert verdicts.wrong == ["n0 shows job as succeeded without ['job.0.0.1']"]
+    assert verdicts.wrong == ["n0 reports job as succeeded without ['job.0.0.1']"]
 
 
 def test_a_job_that_was_shown_as_succeeded_is_known_to_the_vms() -> None:
@@ -63,7 +63,7 @@
 def test_a_job_is_shown_as_ended_without_a_cause(state: str) -> None:
     verdicts = _verdicts()
     verdicts.told("job", 200, state, LATER_S, "n0")
-    assert verdicts.wrong == [f"n0 shows job as {state} without a cause"]
+    assert verdicts.wrong == [f"n0 reports job as {state} without a cause"]
 
 
 def test_what_a_caller_cancelled_may_be_shown_so() -> None:
@@ -86,11 +86,13 @@
     assert verdicts.ended_as_due("job", "cancelled")
 
 
-SHOWN_AFTER_CANCELLING = ["n0 shows job as succeeded after its cancelling was acknowledged"]
+SUCCEEDED_AFTER_CANCELLATION = [
+    "n0 reports job as succeeded after its cancellation was acknowledged"
+]
 
 
 @pytest.mark.parametrize(
-    ("left", "wrong"), [("cancelled", SHOWN_AFTER_CANCELLING), ("succeeded", [])]
+    ("left", "wrong"), [("cancelled", SUCCEEDED_AFTER_CANCELLATION), ("succeeded", [])]
 )
 def test_a_job_may_succeed_unless_its_cancelling_was_acknowledged(
     left: str, wrong: list[str]
