--- a/benchmarks/job_verdicts.py
+++ b/benchmarks/job_verdicts.py
@@ -45,10 +45,10 @@
         Only the jobs whose acceptance is expected count.
         """
         expected = {job for job, is_expected in self._acceptance_expected.items() if is_expected}
-        taken = expected & self.accepted.keys()
-        if len(taken) >= min_share * len(expected):
+        accepted = expected & self.accepted.keys()
+        if len(accepted) >= min_share * len(expected):
             return []
-        return [f"only {len(taken)} of {len(expected)} jobs were accepted"]
+        return [f"only {len(accepted)} of {len(expected)} jobs were accepted"]
 
     def taken(self, job: str, now: float) -> None:
         """Record that the acceptance of a job was reported to its caller."""
--- a/tests/emulator/loop.py
+++ b/tests/emulator/loop.py
@@ -44,7 +44,7 @@
     def time(self) -> float:
         return self._virtual_selector.now
 
-    def spend(self, seconds: float) -> None:
+    def advance_clock(self, seconds: float) -> None:
         """Advance the clock while a callback runs."""
         self._virtual_selector.now += seconds
 
@@ -133,7 +133,7 @@
 
 def spend(seconds: float) -> None:
     """Simulate running code that blocks the loop for some seconds."""
-    _loop().spend(seconds)
+    _loop().advance_clock(seconds)
 
 
 def run(work: Coroutine[object, object, T]) -> T:
