--- a/tests/emulator/system.py
+++ b/tests/emulator/system.py
@@ -110,7 +110,7 @@
         """Machine limits by member; a member that is not listed has no limit."""
         self.links: dict[str, NarrowLink] = {}
         """Links to the store by member; a member that is not listed has unlimited bandwidth."""
-        self._life = 0
+        self._started_members = 0
         self.cell.advised = advice
         self._advice = AdviceTerms(5.0, 0.1, 2000.0) if advice else None
         for number in range(vms):
@@ -214,7 +214,7 @@
 
     def _start(self, name: str) -> None:
         OWNER.set(name)
-        self._life += 1
+        self._started_members += 1
         advice = EmulatedAdvice(lambda vm: self.cell.newest(vm).life)
         ports = LeaderPorts(
             self._store_of(name),
--- a/tests/jobs/test_watch.py
+++ b/tests/jobs/test_watch.py
@@ -31,8 +31,8 @@
     """A watched store that the leader of epoch 1 writes to."""
 
     def __init__(self, *batches: list[Record]) -> None:
-        self.watch = Watch()
-        self.store = WatchedState(random.Random(1), self.watch)
+        self.checker = Watch()
+        self.store = WatchedState(random.Random(1), self.checker)
         self.append([], 1, 0)
         for sequence, batch in enumerate(batches):
             self.append(batch, 1, sequence)
@@ -46,49 +46,49 @@
 
     def assert_one_violation(self, *parts: str) -> None:
         """Assert that there is exactly one violation, and that it contains the given texts."""
-        assert len(self.watch.violations) == 1
-        assert all(part in self.watch.violations[0] for part in parts)
+        assert len(self.checker.violations) == 1
+        assert all(part in self.checker.violations[0] for part in parts)
 
     def assert_no_violations(self) -> None:
-        assert self.watch.violations == []
+        assert self.checker.violations == []
 
 
 def test_a_batch_that_is_in_the_store_is_fine() -> None:
     rig = _Rig([ACCEPTED], [OTHER])
-    rig.watch.appended(1, 0, [ACCEPTED])
-    rig.watch.appended(1, 1, [OTHER])
-    rig.watch.durable(1, [OTHER])
-    rig.watch.durable(1, [])
+    rig.checker.appended(1, 0, [ACCEPTED])
+    rig.checker.appended(1, 1, [OTHER])
+    rig.checker.durable(1, [OTHER])
+    rig.checker.durable(1, [])
     rig.assert_no_violations()
 
 
 def test_a_batch_that_is_not_in_the_store() -> None:
     rig = _Rig([ACCEPTED])
-    rig.watch.appended(1, 1, [OTHER])
+    rig.checker.appended(1, 1, [OTHER])
     rig.assert_one_violation("epoch 1, sequence 1", "not in the store", "j/b")
 
 
 def test_a_batch_of_which_the_store_has_some_records() -> None:
     rig = _Rig([ACCEPTED])
-    rig.watch.appended(1, 0, [ACCEPTED, OTHER])
+    rig.checker.appended(1, 0, [ACCEPTED, OTHER])
     rig.assert_one_violation("epoch 1, sequence 0", "not in the store")
 
 
 def test_a_batch_whose_records_have_another_order() -> None:
     rig = _Rig([OTHER, ACCEPTED])
-    rig.watch.appended(1, 0, [ACCEPTED, OTHER])
+    rig.checker.appended(1, 0, [ACCEPTED, OTHER])
     rig.assert_one_violation("epoch 1, sequence 0", "not in the store")
 
 
 def test_a_batch_that_another_epoch_has_appended() -> None:
     rig = _Rig([ACCEPTED])
-    rig.watch.appended(2, 0, [ACCEPTED])
+    rig.checker.appended(2, 0, [ACCEPTED])
     rig.assert_one_violation("epoch 2, sequence 0", "not in the store")
 
 
 def test_a_batch_that_is_taken_for_durable_and_is_not_in_the_store() -> None:
     rig = _Rig([ACCEPTED])
-    rig.watch.durable(1, [OTHER])
+    rig.checker.durable(1, [OTHER])
     rig.assert_one_violation("epoch 1", "counted as durable", "j/b")
 
 
@@ -101,15 +101,15 @@
 def test_a_batch_before_which_one_is_missing() -> None:
     rig = _Rig()
     rig.append([OTHER], 1, 1)
-    rig.watch.violations.clear()
-    rig.watch.appended(1, 1, [OTHER])
+    rig.checker.violations.clear()
+    rig.checker.appended(1, 1, [OTHER])
     rig.assert_one_violation("epoch 1, sequence 1", "before batches [0]")
 
 
 def test_a_load_that_equals_the_store() -> None:
     rig = _Rig([ACCEPTED], [OTHER], [Record("j/b")])
     rig.append([], 2, 0)
-    rig.watch.loaded(2, [ACCEPTED])
+    rig.checker.loaded(2, [ACCEPTED])
     rig.assert_no_violations()
 
 
@@ -121,88 +121,88 @@
 def test_a_load_that_differs_from_the_store(loaded: list[Record]) -> None:
     rig = _Rig([ACCEPTED], [OTHER], [Record("j/b")])
     rig.append([], 2, 0)
-    rig.watch.loaded(2, loaded)
+    rig.checker.loaded(2, loaded)
     rig.assert_one_violation("epoch 2", "loaded")
 
 
 def test_a_load_before_the_epoch_is_set() -> None:
     rig = _Rig([ACCEPTED])
-    rig.watch.loaded(2, [ACCEPTED])
+    rig.checker.loaded(2, [ACCEPTED])
     rig.assert_one_violation("epoch 2", "before the epoch was set")
 
 
 def test_a_load_of_a_leader_that_is_fenced_is_not_judged() -> None:
     rig = _Rig([ACCEPTED])
     rig.append([OTHER], 2, 0)
-    rig.watch.loaded(1, [ACCEPTED, OTHER])
+    rig.checker.loaded(1, [ACCEPTED, OTHER])
     rig.assert_no_violations()
 
 
 @pytest.mark.parametrize("outcome", ["done", "failed"])
 def test_an_acknowledged_end_that_is_not_in_the_store(outcome: str) -> None:
     rig = _Rig([ACCEPTED], [_progress(Progress(1, {"0.0": StepProgress("2", {2: (1,)})}))])
-    rig.watch.acknowledged(1, "vm", EndReport(7, "a.0.0.0", 1, outcome))
+    rig.checker.acknowledged(1, "vm", EndReport(7, "a.0.0.0", 1, outcome))
     rig.assert_one_violation("epoch 1", "completion 7 of vm", "a.0.0.0")
 
 
 def test_an_acknowledged_failure_of_another_run() -> None:
     rig = _Rig([ACCEPTED], [_progress(Progress(1, {"0.0": StepProgress("", {0: (1,)})}))])
-    rig.watch.acknowledged(1, "vm", EndReport(7, "a.0.0.0", 2, "failed"))
+    rig.checker.acknowledged(1, "vm", EndReport(7, "a.0.0.0", 2, "failed"))
     rig.assert_one_violation("epoch 1", "completion 7 of vm", "run 2")
 
 
 def test_an_acknowledged_end_of_a_job_without_progress() -> None:
     rig = _Rig([ACCEPTED])
-    rig.watch.acknowledged(1, "vm", EndReport(1, "a.0.0.0", 1, "done"))
+    rig.checker.acknowledged(1, "vm", EndReport(1, "a.0.0.0", 1, "done"))
     rig.assert_one_violation("epoch 1", "completion 1 of vm")
 
 
 def test_acknowledged_ends_that_the_store_covers() -> None:
     rig = _Rig([ACCEPTED], [_progress(Progress(1, {"0.0": StepProgress("2", {0: (1, 3)})}))])
-    rig.watch.acknowledged(1, "vm", EndReport(1, "a.0.0.0", 3, "failed"))
-    rig.watch.acknowledged(1, "vm", EndReport(2, "a.0.0.1", 1, "done"))
-    rig.watch.acknowledged(1, "vm", EndReport(3, "a.0.0.1", 1, "failed"))
-    rig.watch.acknowledged(1, "vm", EndReport(4, "a.0.0.2", 1, "lapsed"))
+    rig.checker.acknowledged(1, "vm", EndReport(1, "a.0.0.0", 3, "failed"))
+    rig.checker.acknowledged(1, "vm", EndReport(2, "a.0.0.1", 1, "done"))
+    rig.checker.acknowledged(1, "vm", EndReport(3, "a.0.0.1", 1, "failed"))
+    rig.checker.acknowledged(1, "vm", EndReport(4, "a.0.0.2", 1, "lapsed"))
     rig.append([FINISHED, Record("j/a")], 1, 2)
     rig.append([Record("p/a")], 1, 3)
-    rig.watch.acknowledged(1, "vm", EndReport(5, "a.0.0.3", 1, "done"))
+    rig.checker.acknowledged(1, "vm", EndReport(5, "a.0.0.3", 1, "done"))
     rig.assert_no_violations()
 
 
 def test_a_job_that_is_reported_as_accepted() -> None:
     rig = _Rig([ACCEPTED])
-    rig.watch.accepted(1, "a")
+    rig.checker.accepted(1, "a")
     rig.append([FINISHED, Record("j/a")], 1, 1)
-    rig.watch.accepted(1, "a")
+    rig.checker.accepted(1, "a")
     rig.assert_no_violations()
-    rig.watch.accepted(1, "b")
+    rig.checker.accepted(1, "b")
     rig.assert_one_violation("epoch 1", "reported as accepted", "b")
 
 
 def test_a_final_state_that_is_reported() -> None:
     rig = _Rig([ACCEPTED])
-    rig.watch.shown(1, "a", "running")
+    rig.checker.shown(1, "a", "running")
     rig.assert_no_violations()
-    rig.watch.shown(1, "a", "succeeded")
+    rig.checker.shown(1, "a", "succeeded")
     rig.assert_one_violation("epoch 1", "reported in state succeeded")
     rig.append([FINISHED], 1, 1)
-    rig.watch.shown(1, "a", "succeeded")
+    rig.checker.shown(1, "a", "succeeded")
     rig.assert_one_violation("epoch 1", "reported in state succeeded")
 
 
 def test_a_start_request_for_a_job_that_is_not_in_the_store() -> None:
     rig = _Rig([ACCEPTED, VM_RECORD])
-    rig.watch.ordered(1, "vm", "a.0.0.0")
+    rig.checker.ordered(1, "vm", "a.0.0.0")
     rig.assert_no_violations()
-    rig.watch.ordered(1, "vm", "b.0.0.0")
+    rig.checker.ordered(1, "vm", "b.0.0.0")
     rig.assert_one_violation("epoch 1", "its job is not in the store", "b.0.0.0")
 
 
 def test_a_start_request_on_a_vm_whose_use_is_not_in_the_store() -> None:
     rig = _Rig([ACCEPTED, VM_RECORD])
-    rig.watch.ordered(1, "other", "a.0.0.0", up=False)
+    rig.checker.ordered(1, "other", "a.0.0.0", up=False)
     rig.assert_no_violations()
-    rig.watch.ordered(1, "other", "a.0.0.0")
+    rig.checker.ordered(1, "other", "a.0.0.0")
     rig.assert_one_violation("epoch 1", "start requested on other")
 
 
@@ -223,11 +223,11 @@
     The store appends batches that the checker never sees, so that every check has to fail.
     """
     violations: list[str] = []
-    original_faults = System.faults
+    find_violations = System.faults
     original_append = StoreState.append
 
-    async def faults(system: System) -> list[str]:
-        violations.extend(await original_faults(system))
+    async def collect_violations(system: System) -> list[str]:
+        violations.extend(await find_violations(system))
         return []
 
     def append_unchecked(state: WatchedState, topic, records, producer, at):  # type: ignore[no-untyped-def]
@@ -238,7 +238,7 @@
         return result
 
     known_epochs: set[int] = set()
-    monkeypatch.setattr(System, "faults", faults)
+    monkeypatch.setattr(System, "faults", collect_violations)
     monkeypatch.setattr(WatchedState, "append", append_unchecked)
     run(play(1, []))
     for check in (
