--- a/tests/emulator/network.py
+++ b/tests/emulator/network.py
@@ -184,26 +184,26 @@
 class Port:
     """The network as one member uses it."""
 
-    def __init__(self, wires: Wires, name: str) -> None:
-        self._wires = wires
+    def __init__(self, network: Wires, name: str) -> None:
+        self._network = network
         self._name = name
 
     async def connect(self, address: str, handler: Handler, timeout: float) -> Link:
         await asyncio.sleep(DELAY_S)
-        if self._wires.parted(self._name, address):
+        if self._network.parted(self._name, address):
             await asyncio.sleep(timeout)
             raise CallFailed("no connection in time", False)
-        listener = self._wires.listening.get(address)
+        listener = self._network.listening.get(address)
         if listener is None:
             raise CallFailed("refused", False, refused=True)
-        local = MemoryLink(self._wires, self._name, address, handler)
-        remote = MemoryLink(self._wires, address, self._name, listener.handler)
+        local = MemoryLink(self._network, self._name, address, handler)
+        remote = MemoryLink(self._network, address, self._name, listener.handler)
         local.other, remote.other = remote, local
         remote.on_closed = listener.closed
         listener.links.append(remote)
         return local
 
     def listen(self, address: str, handler: Handler, closed: Callable[[Link], None]) -> _Listener:
-        listener = _Listener(self._wires, address, handler, closed)
-        self._wires.listening[address] = listener
+        listener = _Listener(self._network, address, handler, closed)
+        self._network.listening[address] = listener
         return listener
--- a/tests/emulator/system.py
+++ b/tests/emulator/system.py
@@ -45,7 +45,7 @@
 PREFIX = "/queue/"
 CAPACITY = Shape(16_000, 64_000, 0)
 TIMEOUT = 2.7
-RETRIES = 6
+MAX_ATTEMPTS = 6
 CRASHES_UNTIL_FAILED = 2
 """Crashes of VMs under a task after which its job may be reported as failed."""
 
@@ -291,7 +291,7 @@
         return None if task.cancelled() or task.exception() else task.result()
 
     async def submit(self, name: str, spec: JobSpec, caller: str = "") -> None:
-        """Submit a job, and retry until it is accepted or ``RETRIES`` attempts were made.
+        """Submit a job, and retry until it is accepted or ``MAX_ATTEMPTS`` attempts were made.
 
         The callers of an organisation present a key whose digest is that of its name.
         """
@@ -301,7 +301,7 @@
         self.open_calls += 1
         uncertain = False
         try:
-            for _ in range(RETRIES):
+            for _ in range(MAX_ATTEMPTS):
                 call = CallerCall(Operation.SUBMIT, HOST, PREFIX + name, spec)
                 reply = await self.call(call, digest)
                 if reply is not None and reply.outcome is Outcome.DONE:
