--- a/benchmarks/kept_soaks.py
+++ b/benchmarks/kept_soaks.py
@@ -37,9 +37,9 @@
 def main() -> None:
     """Run all listed soaks, and exit with 1 if any of them finds a violation."""
     violations = 0
-    for kept in read():
-        print(kept.cause)
-        violations += play(kept.seed, kept.seconds, kept.processes, kept.vms, faults=kept.faults)
+    for soak in read():
+        print(soak.cause)
+        violations += play(soak.seed, soak.seconds, soak.processes, soak.vms, faults=soak.faults)
     if violations:
         raise typer.Exit(1)
 
--- a/tests/emulator/advice.py
+++ b/tests/emulator/advice.py
@@ -44,11 +44,11 @@
 class EmulatedAdvice:
     """The service as one member sees it: it processes the member's calls one at a time.
 
-    ``life_of`` returns the incarnation of a VM that a ticket is for.
+    ``incarnation_of`` returns the incarnation of a VM that a ticket is for.
     """
 
-    def __init__(self, life_of: Callable[[str], str] = lambda vm: vm) -> None:
-        self._life_of = life_of
+    def __init__(self, incarnation_of: Callable[[str], str] = lambda vm: vm) -> None:
+        self._incarnation_of = incarnation_of
         self._lock = asyncio.Lock()
         self._waiting = 0
 
@@ -73,7 +73,9 @@
         async with self._lock:
             await asyncio.sleep(DECISION_TIME_S + DECISION_TIME_PER_VM_S * len(vms))
         until = asyncio.get_running_loop().time() + VALID
-        good = {vm: ticket(step, self._life_of(vm), until) for vm in vms if may_run(step, vm)}
+        good = {
+            vm: ticket(step, self._incarnation_of(vm), until) for vm in vms if may_run(step, vm)
+        }
         return AdviceReply(True, good, VALID * 1000.0)
 
 
--- a/tests/emulator/faults.py
+++ b/tests/emulator/faults.py
@@ -150,7 +150,7 @@
 
 
 async def links_fall_silent(system: System, rng: random.Random) -> None:
-    """Silence some open connections for good, in one direction or both."""
+    """Silence some open connections permanently, in one direction or both."""
     share = rng.choice((0.3, 1.0))
     for link in system.wires.links():
         link.mute = link.mute or rng.random() < share
--- a/tests/emulator/life_faults.py
+++ b/tests/emulator/life_faults.py
@@ -116,10 +116,10 @@
 
 async def calls_held_up(system: System, rng: random.Random) -> None:
     """Delay many calls and replies, so that some reach the next incarnation of their VM."""
-    usual = system.cell.held_up
+    previous_share = system.cell.held_up
     system.cell.held_up = 0.3
     await one_restarts_in_series(system, rng)
-    system.cell.held_up = usual
+    system.cell.held_up = previous_share
 
 
 LIFE_FAULTS: tuple[Fault, ...] = (
--- a/tests/emulator/system.py
+++ b/tests/emulator/system.py
@@ -422,8 +422,8 @@
         """Return whether a job may fail: a task of it has failed in all its allowed attempts."""
         if name in self.cell.poison:
             return True
-        most = self.cell.max_attempts
-        return any(self.cell.failures[task] >= most for task in self._tasks(name))
+        max_attempts = self.cell.max_attempts
+        return any(self.cell.failures[task] >= max_attempts for task in self._tasks(name))
 
     async def faults(self) -> list[str]:
         """Return all violations, once the system has settled."""
--- a/tests/emulator/vm_faults.py
+++ b/tests/emulator/vm_faults.py
@@ -138,5 +138,5 @@
 
 
 def draw(seed: int) -> list[Fault]:
-    """Return the faults of a seed's mix: most of them of this module, the others of any kind."""
+    """Return the faults of a seed's mix: most from this module, the others from ``FAULTS``."""
     return draw_mostly(seed, VM_FAULTS, OWN_SHARE)
--- a/tests/emulator/vms.py
+++ b/tests/emulator/vms.py
@@ -108,10 +108,10 @@
         new.capacities = [*vm.capacities, (loop_time(), vm.info.capacity)]
         return new
 
-    def _add_incarnation(self, info: VmInfo, life: str) -> Vm:
-        vm = Vm(info, self.rng.choice((0.98, 1.0, 1.01)), self.rng.uniform(0, 1e6), life)
+    def _add_incarnation(self, info: VmInfo, incarnation: str) -> Vm:
+        vm = Vm(info, self.rng.choice((0.98, 1.0, 1.01)), self.rng.uniform(0, 1e6), incarnation)
         vm.born = EPOCH_UNIX_MS + int(loop_time() * 1000.0) + self._incarnations
-        self.vms[life] = self._newest_by_id[info.name] = vm
+        self.vms[incarnation] = self._newest_by_id[info.name] = vm
         return vm
 
     def newest(self, name: str) -> Vm:
@@ -247,10 +247,10 @@
         self._check_start(vm, action, spec.charge)
         self._check_cap(action, spec.charge)
         self.starts.setdefault(action.task, []).append(now)
-        length = max(0.05, self.rng.expovariate(1.0 / self.seconds)) * vm.slow
+        duration = max(0.05, self.rng.expovariate(1.0 / self.seconds)) * vm.slow
         if action.saved:
-            length /= 2.0
-        run = Run(action.task, action.run, spec.charge, now, length, spec.gang, spec.saves)
+            duration /= 2.0
+        run = Run(action.task, action.run, spec.charge, now, duration, spec.gang, spec.saves)
         run.begun_from = action.saved
         vm.runs[action.task, action.run] = run
         if action.task in self.crashing:
@@ -259,7 +259,7 @@
         if spec.gang:
             self._on_gang_member_started(vm, run, spec.count)
             return
-        run.timer = asyncio.get_running_loop().call_later(length, self._finish, vm, run)
+        run.timer = asyncio.get_running_loop().call_later(duration, self._finish, vm, run)
 
     def _on_gang_member_started(self, vm: Vm, run: Run, count: int) -> None:
         members = self._gang_members(run)
