--- a/benchmarks/cellproc.py
+++ b/benchmarks/cellproc.py
@@ -14,7 +14,7 @@
 from sablemount.runtime import Runtime
 from sablemount.settings import PeerAddress, Settings
 from tests.fakes.servers import LOOPBACK, PlatformServer, make_workers
-from tests.fakes.worker import Truth
+from tests.fakes.worker import GroundTruth
 
 __all__ = ["Cell", "Node", "free_port"]
 
@@ -77,7 +77,7 @@
         service_time: float = 0.002,
         halls: tuple[str, ...] = ("sala-norte", "sala-sur", "envigado", "bello"),
     ) -> None:
-        self.truth = Truth()
+        self.truth = GroundTruth()
         self.workers = make_workers(workers, self.truth, halls, 6, service_time)
         self.platform = PlatformServer(self.workers)
         core = core or CoreSettings(shards=6)
@@ -110,8 +110,8 @@
             await asyncio.sleep(0.05)
 
     def _open_shards(self, node: Node) -> int:
-        held = node.runtime.scheduler.state.held.values()
-        return sum(1 for shard in held if shard.opened)
+        held = node.runtime.scheduler.state.held_shards.values()
+        return sum(1 for shard in held if shard.recovery_complete)
 
     async def close(self) -> None:
         """End everything."""
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -127,7 +127,7 @@
     vm = target.facts.vm
     begun = time.monotonic()
     await cell.call(2, "POST", f"/v1/vms/{vm}/drain", {"drain": True})
-    target.worker.left_since = time.monotonic()
+    target.worker.left_at = time.monotonic()
     while any(run.shape.cores for run in target.worker.runs.values()):
         assert time.monotonic() - begun < STEP_LIMIT, "the VM was not drained"
         await asyncio.sleep(0.02)
--- a/benchmarks/procs.py
+++ b/benchmarks/procs.py
@@ -16,7 +16,7 @@
 from sablemount.core.config import CoreSettings
 from sablemount.settings import PeerAddress, Settings
 from tests.fakes.servers import LOOPBACK, PlatformServer, make_workers
-from tests.fakes.worker import Truth
+from tests.fakes.worker import GroundTruth
 
 __all__ = ["DaemonCell", "wait_until"]
 
@@ -45,7 +45,7 @@
         core: CoreSettings | None = None,
         service_time: float = 0.002,
     ) -> None:
-        self.truth = Truth()
+        self.truth = GroundTruth()
         self.workers = make_workers(workers, self.truth, HALLS, 6, service_time)
         self.platform = PlatformServer(self.workers)
         self.core = core or CoreSettings(shards=6)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -69,7 +69,7 @@
     """Seconds until every shard is open when a VM of the crashed owner dies with it."""
     cell = _cell(seed)
     core = cell.members["s1"].core.state
-    vm = next(vm for shard in core.held for vm in core.shard_vms[shard])
+    vm = next(vm for shard in core.held_shards for vm in core.shard_vms[shard])
     cell.crash("s1")
     cell.workers[vm].fail()
     return _settle_after(cell)
@@ -85,8 +85,9 @@
         active = {
             shard
             for member in cell.live()
-            for shard in member.core.state.held
-            if member.core.state.active(shard) and member.core.state.held[shard].opened
+            for shard in member.core.state.held_shards
+            if member.core.state.is_active(shard)
+            and member.core.state.held_shards[shard].recovery_complete
         }
         for shard in gaps:
             gaps[shard] = 0.0 if shard in active else gaps[shard] + 0.02
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -107,7 +107,7 @@
             template, count = (("rueda/plan", 6), ("yard/transfer", 3))[number % 2]
             job = f"job-{number}"
             if template == "yard/transfer":
-                self.cell.truth.single.update(f"{job}.{index}" for index in range(count))
+                self.cell.truth.at_most_once.update(f"{job}.{index}" for index in range(count))
             body = {"template": template, "job": job, "count": count}
             answer = await self.cell.call(self._any(), "POST", "/v1/jobs", body)
             if answer is not None and answer.get("job") == job:
@@ -148,9 +148,9 @@
             if await self.cell.call(self._any(), "POST", path, {"drain": True}) is None:
                 continue
             self.faults["drain"] += 1
-            server.worker.left_since = time.monotonic()
+            server.worker.left_at = time.monotonic()
             await asyncio.sleep(DRAIN_EVERY / 2)
-            server.worker.left_since = float("inf")
+            server.worker.left_at = float("inf")
             await self.cell.call(self._any(), "POST", path, {"drain": False})
 
     # -- The end -----------------------------------------------------------------------------
--- a/benchmarks/solo.py
+++ b/benchmarks/solo.py
@@ -12,7 +12,7 @@
 from sablemount.core.records import Writer
 from sablemount.core.scheduler import Scheduler
 from tests.fakes.log import FakeLog
-from tests.fakes.worker import FakeWorker, Truth
+from tests.fakes.worker import FakeWorker, GroundTruth
 
 __all__ = ["Solo", "make_facts"]
 
@@ -38,7 +38,7 @@
 
     def __init__(self, facts: list[VmFacts], settings: CoreSettings, seed: int = 1) -> None:
         self.now = 0.0
-        self.truth = Truth()
+        self.truth = GroundTruth()
         self.workers = {row.vm: FakeWorker(row, self.truth) for row in facts}
         self.log = FakeLog()
         self.polls = 0
--- a/benchmarks/standin.py
+++ b/benchmarks/standin.py
@@ -11,7 +11,7 @@
 
 from sablemount.core.facts import VmFacts
 from tests.fakes.servers import PlatformServer, StaticVm, make_workers
-from tests.fakes.worker import Truth
+from tests.fakes.worker import GroundTruth
 
 __all__ = ["main"]
 
@@ -24,7 +24,7 @@
 
 
 async def _workers(count: int, service_time: float, prefix: str) -> None:
-    truth = Truth()
+    truth = GroundTruth()
     servers = make_workers(count, truth, HALLS, 6, service_time, prefix)
     print(msgspec.json.encode([server.facts for server in servers]).decode(), flush=True)
     await _until_closed()
--- a/src/sablemount/core/ledger_image.py
+++ b/src/sablemount/core/ledger_image.py
@@ -1,4 +1,4 @@
-"""Taking an image of a ledger, and restoring a ledger from one."""
+"""Conversion between ledgers and their images."""
 
 from collections import deque
 
@@ -17,7 +17,7 @@
 
 
 def image_of(ledger: Ledger) -> LedgerImage:
-    """Return an immutable image of the whole state."""
+    """Return an immutable image of the complete ledger."""
     return LedgerImage(
         offset=ledger.offset,
         log_time=ledger.log_time,
@@ -26,17 +26,17 @@
             for name, writer in ledger.members.items()
         ],
         incarnations=dict(ledger.incarnations),
-        seen=dict(ledger.seen),
+        seen=dict(ledger.read_offsets),
         shards=list(ledger.shards),
         documents=[
             DocumentImage(key, row.document, row.revision, row.author, row.offset)
             for key, row in ledger.documents.items()
         ],
-        tasks=[row.image() for row in ledger.tasks.values()],
-        vms=[list(shard.values()) for shard in ledger.vms],
+        tasks=[row.to_image() for row in ledger.tasks.values()],
+        vms=[list(shard.values()) for shard in ledger.enrolled_vms],
         drained=list(ledger.drained),
         finished=list(ledger.finished),
-        keys=[KeyImage(key, spent) for key, spent in ledger.keys.items()],
+        keys=[KeyImage(key, spent) for key, spent in ledger.spent_keys.items()],
         shares=[
             ShareImage(name, cores, accelerators)
             for name, cores, accelerators in ledger.shares.rows()
@@ -45,11 +45,11 @@
 
 
 def ledger_of(image: LedgerImage) -> Ledger:
-    """Return the ledger that an image was taken of."""
+    """Restore a ledger from an image."""
     ledger = Ledger(len(image.shards))
     ledger.offset = image.offset
     ledger.log_time = image.log_time
-    ledger.snapshot_upto = image.offset
+    ledger.snapshot_offset = image.offset
     for member in image.members:
         name = member.writer.name
         ledger.members[name] = member.writer
@@ -57,7 +57,7 @@
         ledger.joined_at[name] = member.joined_at
         ledger.sequences[name] = member.sequence
     ledger.incarnations = dict(image.incarnations)
-    ledger.seen = dict(image.seen)
+    ledger.read_offsets = dict(image.seen)
     ledger.shards = list(image.shards)
     for item in image.documents:
         row = DocumentRow(item.document, item.revision, item.author, item.offset)
@@ -66,10 +66,10 @@
         ledger.shares.restore(share.organisation, share.cores, share.accelerators)
     for task in image.tasks:
         _restore_task(ledger, task)
-    ledger.vms = [{facts.vm: facts for facts in shard} for shard in image.vms]
+    ledger.enrolled_vms = [{facts.vm: facts for facts in shard} for shard in image.vms]
     ledger.drained = dict.fromkeys(image.drained, True)
     ledger.finished = deque(image.finished)
-    ledger.keys = {item.key: item.spent for item in image.keys}
+    ledger.spent_keys = {item.key: item.spent for item in image.keys}
     return ledger
 
 
--- a/src/sablemount/core/request_queue.py
+++ b/src/sablemount/core/request_queue.py
@@ -1,23 +1,29 @@
-"""Requests between their arrival and their answer, and the bounded queue of those that wait."""
+"""Requests that have not been answered yet, and the bounded queue of those that wait."""
 
 from collections import deque
 
-from sablemount.core.documents import CLASS_ORDER, TemplateDocument
+from sablemount.core.documents import PRIORITY_RANK, TemplateDocument
 from sablemount.core.events import RequestArrived
 
 __all__ = ["RequestQueue", "RequestRow"]
 
 
 class RequestRow:
-    """A request between its arrival and its answer."""
+    """A request that has not been answered yet.
+
+    ``priority_rank`` is 0 for the highest priority class. ``sent`` is set once the request has
+    been sent to a VM or a peer, and cleared before a retry if it certainly did not run there.
+    ``may_have_run`` is set once an attempt may have run. The next attempt is not made before
+    ``not_before``.
+    """
 
     __slots__ = (
         "arrival",
-        "arrived",
-        "attempt",
+        "arrived_at",
+        "attempts",
         "may_have_run",
         "not_before",
-        "order",
+        "priority_rank",
         "sent",
         "template",
     )
@@ -25,9 +31,9 @@
     def __init__(self, arrival: RequestArrived, template: TemplateDocument, now: float) -> None:
         self.arrival = arrival
         self.template = template
-        self.order = CLASS_ORDER[template.priority]
-        self.arrived = now
-        self.attempt = 0
+        self.priority_rank = PRIORITY_RANK[template.priority]
+        self.arrived_at = now
+        self.attempts = 0
         self.sent = False
         self.may_have_run = False
         self.not_before = 0.0
@@ -39,51 +45,54 @@
 
 
 class RequestQueue:
-    """Waiting requests by class, the best paid first."""
+    """Waiting requests, the highest priority class first and in order of arrival within one."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._classes: list[deque[RequestRow]] = [deque() for _ in CLASS_ORDER]
+        self._classes: list[deque[RequestRow]] = [deque() for _ in PRIORITY_RANK]
 
     @property
     def full(self) -> bool:
-        """Tell whether the queue has reached its limit."""
+        """Return whether the queue has reached its limit."""
         return sum(len(queue) for queue in self._classes) >= self._limit
 
-    def ahead_of(self, order: int) -> int:
-        """Return how many requests go before a new one of a class."""
-        return sum(len(queue) for queue in self._classes[: order + 1])
+    def count_ahead(self, rank: int) -> int:
+        """Return the number of waiting requests that are served before a new one of a class."""
+        return sum(len(queue) for queue in self._classes[: rank + 1])
 
     def push(self, row: RequestRow) -> None:
-        """Enter a request behind its class."""
-        self._classes[row.order].append(row)
+        """Append a request to the queue of its class."""
+        self._classes[row.priority_rank].append(row)
 
     def push_front(self, row: RequestRow) -> None:
-        """Enter a request that has had its turn before."""
-        self._classes[row.order].appendleft(row)
+        """Put a request back at the head of the queue of its class."""
+        self._classes[row.priority_rank].appendleft(row)
 
-    def first(self) -> RequestRow | None:
-        """Return the request whose turn it is."""
+    def peek(self) -> RequestRow | None:
+        """Return the next request, or ``None`` if none waits."""
         return next((queue[0] for queue in self._classes if queue), None)
 
     def pop(self) -> None:
-        """Take out the request whose turn it is."""
+        """Remove the next request."""
         next(queue for queue in self._classes if queue).popleft()
 
-    def pop_least_paid(self, below: int) -> RequestRow | None:
-        """Take out the latest of the least paid class, if it pays less than ``below``."""
-        for order in range(len(self._classes) - 1, below, -1):
-            if self._classes[order]:
-                return self._classes[order].pop()
+    def pop_lowest_priority(self, below: int) -> RequestRow | None:
+        """Remove the newest request of the lowest class, if that ranks below ``below``.
+
+        Return ``None`` if there is no such request.
+        """
+        for rank in range(len(self._classes) - 1, below, -1):
+            if self._classes[rank]:
+                return self._classes[rank].pop()
         return None
 
-    def pop_late(self, now: float) -> list[RequestRow]:
-        """Take out the requests whose deadline has passed."""
-        late: list[RequestRow] = []
-        for order, queue in enumerate(self._classes):
+    def pop_expired(self, now: float) -> list[RequestRow]:
+        """Remove and return the requests whose deadline has passed."""
+        expired: list[RequestRow] = []
+        for rank, queue in enumerate(self._classes):
             found = [row for row in queue if row.arrival.deadline <= now]
             if found:
-                late.extend(found)
+                expired.extend(found)
                 kept = (row for row in queue if row.arrival.deadline > now)
-                self._classes[order] = deque(kept)
-        return late
+                self._classes[rank] = deque(kept)
+        return expired
--- a/src/sablemount/core/rows.py
+++ b/src/sablemount/core/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the ledger, and the log entries that they come from."""
+"""Rows of the ledger, and the log entries from which they are computed."""
 
 import msgspec
 
@@ -7,19 +7,19 @@
 from sablemount.core.image import TaskImage
 from sablemount.core.records import Record, Writer
 
-__all__ = ["Applied", "DocumentRow", "LogEntry", "TaskRow", "task_name"]
+__all__ = ["AppliedRecord", "DocumentRow", "LogEntry", "TaskRow", "task_name"]
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """One entry as the log service returns it; ``time`` is the log's own clock in seconds."""
+    """One entry of the log; ``time`` is in seconds of the log service's clock."""
 
     offset: int
     time: float
     payload: bytes
 
 
-class Applied(msgspec.Struct, frozen=True):
-    """What the fold made of one record; ``error`` is empty for an accepted one."""
+class AppliedRecord(msgspec.Struct, frozen=True):
+    """Result of applying one record; ``error`` is empty if the record was accepted."""
 
     offset: int
     writer: Writer
@@ -28,12 +28,12 @@
 
     @property
     def accepted(self) -> bool:
-        """Tell whether the record took effect."""
+        """Return whether the record took effect."""
         return not self.error
 
 
 class DocumentRow(msgspec.Struct, frozen=True):
-    """A document in force."""
+    """The current revision of a document."""
 
     document: documents.Document
     revision: int
@@ -42,12 +42,15 @@
 
 
 class TaskRow:
-    """One accepted task, or one replica of a service."""
+    """One accepted task, or one replica of a service.
+
+    ``intent_epoch`` is the epoch in which the start of a non-repeatable task was announced, or 0.
+    """
 
     __slots__ = (
         "accepted_at",
         "cancelled",
-        "intent",
+        "intent_epoch",
         "job",
         "parameters",
         "position",
@@ -68,22 +71,22 @@
         self.position = 0
         self.parameters: dict[str, documents.Scalar] = {}
         self.accepted_at = 0.0
-        self.intent = 0
+        self.intent_epoch = 0
         self.cancelled = False
         self.verdict: str = ""
         self.reason = ""
 
     @property
     def finished(self) -> bool:
-        """Tell whether the outcome is recorded."""
+        """Return whether the outcome has been recorded."""
         return bool(self.verdict)
 
     @property
-    def service(self) -> bool:
-        """Tell whether this is a replica of a long-running service."""
+    def is_service(self) -> bool:
+        """Return whether this is a replica of a service."""
         return self.template.kind is Kind.SERVICE
 
-    def image(self) -> TaskImage:
+    def to_image(self) -> TaskImage:
         """Return an immutable image of the row."""
         return TaskImage(
             self.task,
@@ -94,7 +97,7 @@
             self.position,
             self.parameters,
             self.accepted_at,
-            self.intent,
+            self.intent_epoch,
             self.cancelled,
             self.verdict,
             self.reason,
@@ -102,13 +105,13 @@
 
     @classmethod
     def from_image(cls, image: TaskImage) -> "TaskRow":
-        """Return the row that an image was taken of."""
+        """Restore a row from its image."""
         row = cls(image.task, image.job, image.template, image.revision)
         row.shard = image.shard
         row.position = image.position
         row.parameters = image.parameters
         row.accepted_at = image.accepted_at
-        row.intent = image.intent
+        row.intent_epoch = image.intent
         row.cancelled = image.cancelled
         row.verdict = image.verdict
         row.reason = image.reason
@@ -116,5 +119,5 @@
 
 
 def task_name(job: str, position: int, total: int) -> str:
-    """Return the name of one task of a job."""
+    """Return the name of the task at a position of a job of ``total`` tasks."""
     return job if total == 1 else f"{job}.{position}"
--- a/src/sablemount/core/systems/commands.py
+++ b/src/sablemount/core/systems/commands.py
@@ -100,7 +100,7 @@
 
     def _shape_failure(self, shape: Shape) -> Failure | None:
         vms = self._state.vms.values()
-        if not vms or any(shape.fits(row.facts.capacity) for row in vms):
+        if not vms or any(shape.fits_within(row.facts.capacity) for row in vms):
             return None
         detail = "$.shape: no VM can hold it"
         return Failure(Verdict.NOT_RUN, Reason.NO_CAPACITY, detail)
--- a/src/sablemount/core/systems/inventory.py
+++ b/src/sablemount/core/systems/inventory.py
@@ -11,7 +11,7 @@
 from sablemount.core.events import VmListRead
 from sablemount.core.facts import VmFacts
 from sablemount.core.messages import DrainNotice
-from sablemount.core.rows import Applied
+from sablemount.core.rows import AppliedRecord
 from sablemount.core.state import State, shard_of
 from sablemount.core.systems.journal import Journal
 from sablemount.core.tables import RunRow, RunStage, VmRow, VmStage
@@ -44,13 +44,13 @@
         for facts in event.vms:
             seen.add(facts.vm)
             row = self._row(facts)
-            row.listed = True
+            row.in_vm_list = True
             row.leaving = facts.leaving
             if row.leaving:
                 state.reindex(row)
         for row in state.vms.values():
-            if row.listed and row.vm not in seen:
-                row.listed = False
+            if row.in_vm_list and row.vm not in seen:
+                row.in_vm_list = False
                 state.reindex(row)
 
     def _row(self, facts: VmFacts) -> VmRow:
@@ -63,7 +63,7 @@
             state.hall_shards.setdefault(row.hall, set()).add(row.shard)
         return row
 
-    def _applied(self, applied: Applied) -> None:
+    def _applied(self, applied: AppliedRecord) -> None:
         body = applied.record.body
         if not applied.accepted:
             return
@@ -74,7 +74,7 @@
             self._state.drain_notices.pop(body.vm, None)
 
     def _reset(self) -> None:
-        for shard in self._state.ledger.vms:
+        for shard in self._state.ledger.enrolled_vms:
             for facts in shard.values():
                 self._row(facts)
 
@@ -83,15 +83,15 @@
     def run(self) -> None:
         """Enrol, settle the stages, and strike out what is gone."""
         state = self._state
-        if not state.leased() or state.now < self._next_run:
+        if not state.has_lease() or state.now < self._next_run:
             return
         self._next_run = state.now + RUN_INTERVAL
         enrolling = {item.facts.vm for item in self._journal.waiting(records.Enroll)}
         dismissing = {item.vm for item in self._journal.waiting(records.Dismiss)}
-        for shard in state.held:
-            if not state.active(shard):
+        for shard in state.held_shards:
+            if not state.is_active(shard):
                 continue
-            enrolled = state.ledger.vms[shard]
+            enrolled = state.ledger.enrolled_vms[shard]
             for row in list(state.shard_vms[shard].values()):
                 if row.vm not in enrolled:
                     if row.vm not in enrolling:
@@ -102,16 +102,16 @@
 
     def _enrol(self, row: VmRow) -> None:
         state = self._state
-        if self._state.leaving(row) or not row.listed:
+        if self._state.is_leaving(row) or not row.in_vm_list:
             return
-        held = state.held[row.shard]
+        held = state.held_shards[row.shard]
         enrol = records.Enroll(row.facts, row.shard, held.epoch)
         self._journal.write(enrol, None, state.now + ENROL_DEADLINE)
 
     def _settle_stage(self, row: VmRow, enrolled: bool) -> None:
         if row.stage is VmStage.LOST or not row.reconciled or not enrolled:
             return
-        stage = VmStage.DRAINING if self._state.leaving(row) else VmStage.USABLE
+        stage = VmStage.DRAINING if self._state.is_leaving(row) else VmStage.USABLE
         if stage is not row.stage:
             row.stage = stage
             self._state.meter.count("vm_stage", stage.value)
@@ -132,19 +132,19 @@
 
     def _consider_dismissal(self, row: VmRow) -> None:
         state = self._state
-        if row.listed or row.stage is not VmStage.LOST or row.requests:
+        if row.in_vm_list or row.stage is not VmStage.LOST or row.requests:
             return
         if any(state.runs[run].stage is not RunStage.LAPSED for run in row.runs):
             return
-        held = state.held[row.shard]
-        if state.now < held.lapse_at:
+        held = state.held_shards[row.shard]
+        if state.now < held.leases_expire_at:
             return
         dismiss = records.Dismiss(row.vm, row.shard, held.epoch)
         self._journal.write(dismiss, lambda *_: self._forget(row), state.now + ENROL_DEADLINE)
 
     def _forget(self, row: VmRow) -> None:
         state = self._state
-        if row.vm in state.ledger.vms[row.shard]:
+        if row.vm in state.ledger.enrolled_vms[row.shard]:
             return
         for run in list(row.runs):
             state.drop_run(state.runs[run])
@@ -155,9 +155,9 @@
 
     def doubt_all(self) -> None:
         """Give no VM new work until it is heard again: this process itself has been paused."""
-        for shard in self._state.held:
+        for shard in self._state.held_shards:
             for row in self._state.shard_vms[shard].values():
-                row.missed = max(1, row.missed)
+                row.missed_polls = max(1, row.missed_polls)
                 row.urgent_poll = True
                 self._state.reindex(row)
 
--- a/src/sablemount/core/systems/journal.py
+++ b/src/sablemount/core/systems/journal.py
@@ -17,7 +17,7 @@
 from sablemount.core.ledger import Ledger
 from sablemount.core.ledger_image import ledger_of
 from sablemount.core.records import Batch, Body, Record, SnapshotPart
-from sablemount.core.rows import Applied, LogEntry
+from sablemount.core.rows import AppliedRecord, LogEntry
 from sablemount.core.state import State
 
 __all__ = ["Journal", "Settlement", "SettledCallback"]
@@ -97,7 +97,7 @@
 
     def __init__(self, state: State) -> None:
         self._state = state
-        self.listeners: list[Callable[[Applied], None]] = []
+        self.listeners: list[Callable[[AppliedRecord], None]] = []
         self.reset_listeners: list[Callable[[], None]] = []
         self._pending: dict[int, _Pending] = {}
         # By kind and by deadline, so that a long queue in an outage costs nothing at each tick.
@@ -171,7 +171,7 @@
     @property
     def healthy(self) -> bool:
         """Tell whether the log has answered lately."""
-        age = self._state.now - self._state.last_clean_read
+        age = self._state.now - self._state.last_caught_up_at
         return age < 2 * self._state.settings.read_interval + self._state.settings.read_timeout
 
     def append_ended(self, event: AppendEnded) -> None:
@@ -305,7 +305,7 @@
         if self._bootstrapping or self._state.ledger.offset < event.head:
             self._next_read = 0.0
             return
-        self._state.last_clean_read = max(self._state.last_clean_read, event.sent_at)
+        self._state.last_caught_up_at = max(self._state.last_caught_up_at, event.sent_at)
         self._state.ready = True
 
     def _fold(self, entry: LogEntry) -> None:
@@ -315,7 +315,7 @@
             for listener in self.listeners:
                 listener(applied)
 
-    def _settle_own(self, applied: Applied) -> None:
+    def _settle_own(self, applied: AppliedRecord) -> None:
         batch = self._in_flight
         nonce = applied.record.nonce
         if batch is not None and nonce in batch.nonces:
--- a/src/sablemount/core/systems/limits.py
+++ b/src/sablemount/core/systems/limits.py
@@ -85,14 +85,16 @@
     def note(self, row: VmRow, failure: Failure | None) -> None:
         """Take the outcome of an attempt at a VM."""
         if failure is None:
-            row.errors = 0
+            row.consecutive_failures = 0
         elif failure.reason in EJECTING:
-            row.errors += 1
-            if row.errors >= self._state.settings.eject_after and self._may_eject(row):
+            row.consecutive_failures += 1
+            if row.consecutive_failures >= self._state.settings.eject_after and self._may_eject(
+                row
+            ):
                 self._eject(row)
 
     def _may_eject(self, row: VmRow) -> bool:
-        total = sum(len(self._state.shard_vms[shard]) for shard in self._state.held)
+        total = sum(len(self._state.shard_vms[shard]) for shard in self._state.held_shards)
         limit = self._state.settings.eject_share * total
         return row.vm not in self._ejected and len(self._ejected) + 1 <= limit
 
@@ -101,7 +103,7 @@
         row.ejected_until = self._state.now + settings.eject_seconds
         self._ejected[row.vm] = row.ejected_until
         # The next failure after the pause ejects it again; one success clears it.
-        row.errors = settings.eject_after - 1
+        row.consecutive_failures = settings.eject_after - 1
         self._state.meter.count("ejections")
 
     def run(self) -> None:
--- a/src/sablemount/core/systems/membership.py
+++ b/src/sablemount/core/systems/membership.py
@@ -12,7 +12,7 @@
 from sablemount.core.ledger_image import image_of
 from sablemount.core.messages import CatchUp, CatchUpReply, Gossip, MemberBeat, PeerMessage
 from sablemount.core.records import Writer
-from sablemount.core.rows import Applied
+from sablemount.core.rows import AppliedRecord
 from sablemount.core.state import State
 from sablemount.core.systems.journal import Journal
 from sablemount.core.tables import PeerRow
@@ -52,7 +52,7 @@
         """Tell whether this incarnation is a member."""
         return self._state.ledger.members.get(self._state.writer.name) == self._state.writer
 
-    def _applied(self, applied: Applied) -> None:
+    def _applied(self, applied: AppliedRecord) -> None:
         body = applied.record.body
         self._heard_in_log(applied.writer)
         if not applied.accepted:
@@ -67,7 +67,7 @@
         """Count a record as a sign of life: a member may be cut off from its peers alone."""
         peer = self._state.peers.get(writer.name)
         if peer is not None and peer.incarnation == writer.incarnation:
-            peer.heard_at = self._state.now
+            peer.last_heartbeat_at = self._state.now
 
     def _show_life(self) -> None:
         """Write to the log while a member is not heard of, since it may not hear this one."""
@@ -76,7 +76,7 @@
             return
         interval = SIGN_SHARE * state.settings.suspect_after
         peers = (state.peers.get(name) for name in state.ledger.members)
-        if any(peer is not None and state.now - peer.gossiped_at > interval for peer in peers):
+        if any(peer is not None and state.now - peer.last_gossip_at > interval for peer in peers):
             self._next_sign = state.now + interval
             self._journal.write(records.Seen(), None, state.now + interval)
 
@@ -108,7 +108,7 @@
         peer = state.peers.get(member.name)
         if peer is None or peer.incarnation != member.incarnation:
             return False
-        return state.now - peer.heard_at < state.settings.suspect_after
+        return state.now - peer.last_heartbeat_at < state.settings.suspect_after
 
     def live_members(self) -> list[Writer]:
         """Return the members that are heard of and are not about to leave, by name."""
@@ -142,8 +142,8 @@
         if gap > state.settings.suspect_after / 2:
             state.meter.count("pauses")
             for peer in state.peers.values():
-                peer.heard_at = state.now
-                peer.gossiped_at = state.now
+                peer.last_heartbeat_at = state.now
+                peer.last_gossip_at = state.now
 
     def _note_members(self) -> None:
         """Begin to count the silence of members that were never heard of."""
@@ -159,7 +159,7 @@
     def _forget_departed(self) -> None:
         state = self._state
         oldest = state.now - FORGET_AFTER
-        for name in [name for name, peer in state.peers.items() if peer.heard_at < oldest]:
+        for name in [name for name, peer in state.peers.items() if peer.last_heartbeat_at < oldest]:
             if name not in state.ledger.members:
                 del state.peers[name]
 
@@ -171,7 +171,7 @@
             peer = state.peers.get(member.name)
             if member == state.writer or peer is None:
                 continue
-            if state.now - peer.heard_at > state.settings.evict_after:
+            if state.now - peer.last_heartbeat_at > state.settings.evict_after:
                 self._journal.write(records.Evict(member), None, state.now + 5.0)
 
     # -- Gossip ------------------------------------------------------------------------------
@@ -179,7 +179,11 @@
     def _own_beat(self) -> MemberBeat:
         state = self._state
         self._beat += 1
-        active = [shard for shard in state.held if state.active(shard)] if state.leased() else []
+        active = (
+            [shard for shard in state.held_shards if state.is_active(shard)]
+            if state.has_lease()
+            else []
+        )
         rows = [row for shard in active for row in state.shard_vms[shard].values()]
         usable = [row for row in rows if row.was_usable]
         return MemberBeat(
@@ -231,8 +235,8 @@
         if peer.incarnation != beat.member.incarnation or peer.beat >= beat.beat:
             return
         peer.beat = beat.beat
-        peer.heard_at = state.now
-        peer.gossiped_at = state.now
+        peer.last_heartbeat_at = state.now
+        peer.last_gossip_at = state.now
         peer.offset = beat.offset
         peer.free_slots = beat.free_slots
         peer.free_cores = beat.free_cores
--- a/src/sablemount/core/systems/ownership.py
+++ b/src/sablemount/core/systems/ownership.py
@@ -78,7 +78,7 @@
         """Bring what is held to what the ledger says."""
         state = self._state
         for row in state.ledger.shards:
-            held = state.held.get(row.shard)
+            held = state.held_shards.get(row.shard)
             if row.owner != state.writer:
                 if held is not None:
                     self._drop(row.shard)
@@ -97,20 +97,20 @@
         renewed = settings.claim_delay + settings.renew_grace + settings.run_lease
         lapse_at = since + renewed * stretch + settings.settle
         self._drop(shard)
-        state.held[shard] = HeldShard(shard, epoch, active_at, lapse_at)
+        state.held_shards[shard] = HeldShard(shard, epoch, active_at, lapse_at)
         state.meter.count("shards_taken", "planned" if planned else "claimed")
 
     def _drop(self, shard: int) -> None:
         state = self._state
-        if state.held.pop(shard, None) is None:
+        if state.held_shards.pop(shard, None) is None:
             return
         self._releasing_since.pop(shard, None)
         for row in list(state.shard_vms[shard].values()):
             for run in list(row.runs):
                 state.drop_run(state.runs[run])
-            row.forget()
+            row.reset_ownership_state()
             state.reindex(row)
-        state.free.pop(shard, None)
+        state.free_indexes.pop(shard, None)
         state.meter.count("shards_dropped")
 
     # -- The lease ---------------------------------------------------------------------------
@@ -119,12 +119,12 @@
         """Bring the limit up to date until which this scheduler may act."""
         state = self._state
         settings = state.settings
-        by_reading = state.last_clean_read + settings.claim_delay * (1 - settings.drift)
+        by_reading = state.last_caught_up_at + settings.claim_delay * (1 - settings.drift)
         state.lease_until = max(by_reading, self._held_until())
 
     def _held_until(self) -> float:
         state = self._state
-        limit = state.last_clean_read + state.settings.hold_limit * (1 - state.settings.drift)
+        limit = state.last_caught_up_at + state.settings.hold_limit * (1 - state.settings.drift)
         for member in state.ledger.members.values():
             if member == state.writer:
                 continue
@@ -137,12 +137,12 @@
     def _ask_promises(self) -> None:
         """Ask every other member for a promise while the log does not answer."""
         state = self._state
-        age = state.now - state.last_clean_read
+        age = state.now - state.last_caught_up_at
         due = age > 3 * state.settings.read_interval and state.now >= self._next_promises
-        if not due or not state.held:
+        if not due or not state.held_shards:
             return
         self._next_promises = state.now + PROMISE_INTERVAL
-        shards = tuple(ShardEpoch(held.shard, held.epoch) for held in state.held.values())
+        shards = tuple(ShardEpoch(held.shard, held.epoch) for held in state.held_shards.values())
         request = HoldRequest(state.writer, state.now, state.settings.promise, shards)
         for member in state.ledger.members.values():
             if member != state.writer:
@@ -182,7 +182,7 @@
         state = self._state
         if self._promised.get(str(owner), 0.0) > state.now:
             return True
-        if state.ledger.knows(owner, state.writer):
+        if state.ledger.has_read_join(owner, state.writer):
             return False
         return state.now < state.joined_at + state.settings.hold_limit * (1 + state.settings.drift)
 
@@ -192,7 +192,7 @@
         Only a member that the owner knew asks nobody's leave, so such a one goes first.
         """
         live = self._membership.live_members()
-        known = [member for member in live if self._state.ledger.knows(owner, member)]
+        known = [member for member in live if self._state.ledger.has_read_join(owner, member)]
         if not known:
             return self._targets.get(shard)
         return max(known, key=lambda member: _score(shard, member.name))
@@ -212,18 +212,22 @@
     def _acknowledge_members(self) -> None:
         """Let the log show that this owner knows every member, so that each may take over."""
         state = self._state
-        if not state.held or self._journal.waiting(records.Seen):
+        if not state.held_shards or self._journal.waiting(records.Seen):
             return
         members = state.ledger.members.values()
-        if not all(state.ledger.knows(state.writer, member) for member in members):
+        if not all(state.ledger.has_read_join(state.writer, member) for member in members):
             self._journal.write(records.Seen(), None, state.now + CLAIM_DEADLINE)
 
     def _activate(self) -> None:
         state = self._state
-        for held in state.held.values():
-            if held.state is HoldState.WAITING and state.now >= held.active_at and state.leased():
+        for held in state.held_shards.values():
+            if (
+                held.state is HoldState.WAITING
+                and state.now >= held.active_at
+                and state.has_lease()
+            ):
                 self._turn(held, HoldState.ACTIVE)
-                state.free.setdefault(held.shard, FreeIndex())
+                state.free_indexes.setdefault(held.shard, FreeIndex())
                 state.meter.count("shards_activated")
 
     def _turn(self, held: HeldShard, to: HoldState) -> None:
@@ -263,7 +267,7 @@
 
     def _consider_release(self, shard: int, target: Writer | None) -> None:
         state = self._state
-        held = state.held.get(shard)
+        held = state.held_shards.get(shard)
         if held is None or target == state.writer:
             if held is not None and held.state is HoldState.RELEASING:
                 self._turn(held, HoldState.ACTIVE)
--- a/src/sablemount/core/systems/placement.py
+++ b/src/sablemount/core/systems/placement.py
@@ -12,7 +12,7 @@
 from sablemount.core.systems.journal import Journal, Settlement
 from sablemount.core.tables import HeldShard, HoldState, RunRow, VmRow, VmStage
 from sablemount.core.verdict import Verdict
-from sablemount.core.waiting import LEVELS, Group, WaitingTask, WaitQueue
+from sablemount.core.waiting import LEVEL_COUNT, Group, WaitingTask, WaitQueue
 
 __all__ = ["Placement"]
 
@@ -47,7 +47,7 @@
 
     def rebind(self) -> None:
         """Go on with the rows of another ledger."""
-        self.queue.rebind(self._state.ledger.tasks)
+        self.queue.replace_rows(self._state.ledger.tasks)
         self._blocked.clear()
 
     # -- Turns -------------------------------------------------------------------------------
@@ -55,15 +55,15 @@
     def run(self) -> None:
         """Place what can be placed, the best-paid level first."""
         self.short_of_quota.clear()
-        if not self._state.leased():
+        if not self._state.has_lease():
             return
         self.queue.promote(self._state.now, self._state.settings.aging)
         budget = self._state.settings.placements_per_tick
-        for level in range(LEVELS):
+        for level in range(LEVEL_COUNT):
             budget = self._run_level(level, budget)
 
     def _run_level(self, level: int, budget: int) -> int:
-        turns = self.queue.turns(level)
+        turns = self.queue.fair_turns(level)
         group = next(turns, None)
         while group is not None and budget > 0:
             again = self._take_turn(level, group)
@@ -78,7 +78,7 @@
         """Place one task of a group; tell whether one was placed or taken out."""
         items = self.queue.head(level, group, LOOK_AHEAD)
         # What did not fit is tried again when capacity is freed, and once a second for a move.
-        mark = (self._state.freed[group.shard], int(self._state.now), items[0].row.task)
+        mark = (self._state.capacity_changes[group.shard], int(self._state.now), items[0].row.task)
         if self._blocked.get((level, group)) == mark:
             return False
         tried: set[Shape] = set()
@@ -100,7 +100,7 @@
         """Tell whether a task may be placed now; one that is not ours any more is taken out."""
         state = self._state
         row = item.row
-        held = state.held.get(row.shard)
+        held = state.held_shards.get(row.shard)
         if held is None or row.finished or row.task in state.run_of:
             self.queue.remove(row.task)
             return False
@@ -109,14 +109,14 @@
             self._finish_cancelled(item, held)
             return False
         # In a shard that was taken and is not open yet, only what never started may be placed.
-        known = held.opened or item.new
-        return known and held.state is HoldState.ACTIVE and not item.moving
+        known = held.recovery_complete or item.never_started
+        return known and held.state is HoldState.ACTIVE and not item.move_pending
 
     def _finish_cancelled(self, item: WaitingTask, held: HeldShard) -> None:
         row = item.row
-        if not row.service:
+        if not row.is_service:
             # Only one that has waited here ever since it was accepted certainly never started.
-            verdict = Verdict.NOT_RUN if item.new else Verdict.MAY_HAVE_RUN
+            verdict = Verdict.NOT_RUN if item.never_started else Verdict.MAY_HAVE_RUN
             self._journal.write(records.Finish(row.task, held.epoch, verdict, "cancelled"))
 
     # -- One task ----------------------------------------------------------------------------
@@ -139,15 +139,15 @@
     def _spread_elsewhere(self, item: WaitingTask) -> bool:
         """Move a spread task once to a shard that has VMs in the hall that is its turn."""
         state = self._state
-        if item.spread_done or not self._journal.healthy:
-            return item.moving
-        item.spread_done = True
+        if item.spread_move_done or not self._journal.healthy:
+            return item.move_pending
+        item.spread_move_done = True
         hall = self._turn_of_hall(item.row.position)
         shards = state.hall_shards.get(hall)
         if not shards or item.row.shard in shards:
             return False
         self._move(item, state.rng.choice(sorted(shards)))
-        return item.moving
+        return item.move_pending
 
     def _turn_of_hall(self, position: int) -> str:
         halls = sorted(self._state.hall_shards)
@@ -160,7 +160,9 @@
         key = (row.template.organisation, row.shard)
         shares = state.ledger.shares
         cores = shares.cores(*key)
-        if not state.held[row.shard].opened and shares.limited(row.template.organisation):
+        if not state.held_shards[row.shard].recovery_complete and shares.has_quota(
+            row.template.organisation
+        ):
             # What a former owner's runs use of the share is not known yet.
             return False
         if cores is not None and state.used_cores.get(key, 0) + shape.cores > cores:
@@ -172,7 +174,7 @@
     def choose(self, row: TaskRow, shard: int) -> VmRow | None:
         """Return the best of a few VMs of a shard with room, or ``None``."""
         state = self._state
-        index = state.free.get(shard)
+        index = state.free_indexes.get(shard)
         if index is None:
             return None
         shape = row.template.shape
@@ -227,15 +229,15 @@
         """Charge a VM for a task and start it, after its intent if it is not repeatable."""
         state = self._state
         row = item.row
-        held = state.held[row.shard]
+        held = state.held_shards[row.shard]
         self.queue.remove(row.task)
         self.queue.charge(item, _cost(row.template.shape), self._weight(item.organisation))
         self._counter += 1
         run = RunRow(f"{row.task}@{held.epoch:x}.{self._counter:x}", row, vm.vm, state.now)
-        run.asked_at = item.since
+        run.queued_at = item.queued_at
         state.add_run(run)
         state.meter.count("placements")
-        if row.template.repeatable or row.intent:
+        if row.template.repeatable or row.intent_epoch:
             self._send(run, row)
             return
         intent = records.Intent(row.task, held.epoch)
@@ -249,8 +251,8 @@
         if state.runs.get(run.run) is not run:
             return
         vm = state.vms[run.vm]
-        usable = vm.stage is VmStage.USABLE and not vm.missed and not state.leaving(vm)
-        if settled is Settlement.ACCEPTED and usable and state.leased():
+        usable = vm.stage is VmStage.USABLE and not vm.missed_polls and not state.is_leaving(vm)
+        if settled is Settlement.ACCEPTED and usable and state.has_lease():
             self._send(run, row)
             return
         state.drop_run(run)
@@ -268,7 +270,7 @@
                 shape=run.shape,
                 lease=state.settings.run_lease,
                 parameters=row.parameters,
-                seconds=0.0 if row.service else run.template.expected_seconds,
+                seconds=0.0 if row.is_service else run.template.expected_seconds,
                 not_after=state.lease_until,
             )
         )
@@ -284,11 +286,11 @@
     def _consider_move(self, item: WaitingTask) -> None:
         """Move a task to a shard that has room, through the log."""
         state = self._state
-        if item.moving or item.reserved or state.now < item.next_move:
+        if item.move_pending or item.has_reservation or state.now < item.next_move_at:
             return
         if not self._journal.healthy:
             return
-        item.next_move = state.now + MOVE_INTERVAL * (0.5 + state.rng.random())
+        item.next_move_at = state.now + MOVE_INTERVAL * (0.5 + state.rng.random())
         to = self._own_shard_with_room(item.row)
         if to is None:
             to = self._peer_shard_with_room(item.row.template.shape)
@@ -299,20 +301,22 @@
         self._move(item, to)
 
     def _move(self, item: WaitingTask, to: int) -> None:
-        move = records.Move(item.row.task, self._state.held[item.row.shard].epoch, to)
-        item.moving = self._journal.write(move, lambda *_: self._moved(item))
+        move = records.Move(item.row.task, self._state.held_shards[item.row.shard].epoch, to)
+        item.move_pending = self._journal.write(move, lambda *_: self._moved(item))
         self._state.meter.count("moves")
 
     def _moved(self, item: WaitingTask) -> None:
-        item.moving = False
-        self._state.freed[item.row.shard] += 1
+        item.move_pending = False
+        self._state.capacity_changes[item.row.shard] += 1
 
     def _own_shard_with_room(self, row: TaskRow) -> int | None:
         state = self._state
-        shards = [shard for shard in state.held if state.active(shard) and shard != row.shard]
+        shards = [
+            shard for shard in state.held_shards if state.is_active(shard) and shard != row.shard
+        ]
         state.rng.shuffle(shards)
         for shard in shards:
-            if state.held[shard].opened and self.choose(row, shard) is not None:
+            if state.held_shards[shard].recovery_complete and self.choose(row, shard) is not None:
                 return shard
         return None
 
@@ -323,7 +327,7 @@
             for peer in state.peers.values()
             if peer.free_cores >= shape.cores
             and peer.free_accelerators >= shape.accelerators
-            and state.now - peer.heard_at < state.settings.suspect_after
+            and state.now - peer.last_heartbeat_at < state.settings.suspect_after
         }
         shards = [row.shard for row in state.ledger.shards if row.owner and row.owner.name in roomy]
         return state.rng.choice(shards) if shards else None
@@ -340,7 +344,7 @@
         preferences = row.template.preferences
         if preferences.required and vm.hall not in preferences.halls:
             return False
-        return row.template.shape.fits(vm.facts.capacity)
+        return row.template.shape.fits_within(vm.facts.capacity)
 
     def _shard_that_can_hold(self, row: TaskRow) -> int | None:
         """Return a shard with a VM that could hold a task, room or not.
@@ -348,10 +352,10 @@
         Of other schedulers' VMs only the list is known, so a later move may be needed.
         """
         state = self._state
-        vms = [vm for vm in state.vms.values() if vm.listed and not vm.leaving]
+        vms = [vm for vm in state.vms.values() if vm.in_vm_list and not vm.leaving]
         state.rng.shuffle(vms)
         for vm in vms[:SAMPLE]:
-            unusable = vm.shard in state.held and vm.stage is not VmStage.USABLE
+            unusable = vm.shard in state.held_shards and vm.stage is not VmStage.USABLE
             if vm.shard != row.shard and not unusable and self._fits_empty(vm, row):
                 return vm.shard
         return None
@@ -362,7 +366,9 @@
             return [self._shard_for(shape)]
         state = self._state
         owned = [
-            row.shard for row in state.ledger.shards if row.owner and state.ledger.vms[row.shard]
+            row.shard
+            for row in state.ledger.shards
+            if row.owner and state.ledger.enrolled_vms[row.shard]
         ]
         if not owned:
             return [self._shard_for(shape)] * chunks
@@ -371,10 +377,10 @@
 
     def _shard_for(self, shape: Shape) -> int:
         state = self._state
-        own = [shard for shard in state.held if state.active(shard)]
+        own = [shard for shard in state.held_shards if state.is_active(shard)]
         state.rng.shuffle(own)
         for shard in own:
-            index = state.free[shard]
+            index = state.free_indexes[shard]
             if index.candidates(shape, index.halls(), 1, state.rng):
                 return shard
         elsewhere = self._peer_shard_with_room(shape)
--- a/src/sablemount/core/systems/preemption.py
+++ b/src/sablemount/core/systems/preemption.py
@@ -9,18 +9,18 @@
 import msgspec
 
 from sablemount.core.actions import CommandKind
-from sablemount.core.documents import CLASS_ORDER, PriorityClass, Shape
+from sablemount.core.documents import PRIORITY_RANK, PriorityClass, Shape
 from sablemount.core.state import State
 from sablemount.core.systems.placement import Placement
 from sablemount.core.tables import RunRow, RunStage, VmRow
-from sablemount.core.waiting import LEVELS, WaitingTask
+from sablemount.core.waiting import LEVEL_COUNT, WaitingTask
 
 __all__ = ["Preemption"]
 
 PATIENCE = {
-    CLASS_ORDER[PriorityClass.URGENT]: 0.0,
-    CLASS_ORDER[PriorityClass.STANDARD]: 2.0,
-    CLASS_ORDER[PriorityClass.BATCH]: 30.0,
+    PRIORITY_RANK[PriorityClass.URGENT]: 0.0,
+    PRIORITY_RANK[PriorityClass.STANDARD]: 2.0,
+    PRIORITY_RANK[PriorityClass.BATCH]: 30.0,
 }
 """How long a task of each class waits before lower-paying work yields to it, in seconds."""
 SAMPLE = 16
@@ -108,20 +108,20 @@
 
     def run(self) -> None:
         """Use what has been freed, then make more work yield."""
-        if not self._state.leased():
+        if not self._state.has_lease():
             return
         self._restore()
         for task in list(self._reservations):
             self._settle(task, self._reservations[task])
         for item in self._due_items():
-            item.preempt_at = self._state.now + RETRY
+            item.next_preemption_at = self._state.now + RETRY
             self._make_room(item)
 
     def _due_items(self) -> list[WaitingTask]:
         """Return what the placement of this tick has left waiting, the best paid first."""
         due: list[WaitingTask] = []
         queue = self._placement.queue
-        for level in range(LEVELS):
+        for level in range(LEVEL_COUNT):
             for group in queue.groups(level):
                 heads = queue.head(level, group, PER_TICK)
                 due.extend(item for item in heads if self._due(item))
@@ -139,31 +139,31 @@
             return
         assert row is not None
         item = reservation.item
-        if row.has_room(item.row.template.shape) and not item.moving:
+        if row.can_fit(item.row.template.shape) and not item.move_pending:
             self._cancel(task, reservation)
             if self._placement.within_quota(item.row):
                 self._placement.start(item, row)
 
     def _cancel(self, task: str, reservation: _Reservation) -> None:
         del self._reservations[task]
-        reservation.item.reserved = False
+        reservation.item.has_reservation = False
         row = self._state.vms.get(reservation.vm)
         if row is not None:
             row.reserved_for.pop(task, None)
-            self._state.freed[row.shard] += 1
+            self._state.capacity_changes[row.shard] += 1
             self._state.reindex(row)
 
     # -- Choosing victims --------------------------------------------------------------------
 
     def _due(self, item: WaitingTask) -> bool:
         state = self._state
-        patience = PATIENCE.get(item.order)
-        if patience is None or item.row.task in self._reservations or item.moving:
+        patience = PATIENCE.get(item.priority_rank)
+        if patience is None or item.row.task in self._reservations or item.move_pending:
             return False
-        held = state.held.get(item.row.shard)
-        if held is None or not held.opened or not state.active(item.row.shard):
+        held = state.held_shards.get(item.row.shard)
+        if held is None or not held.recovery_complete or not state.is_active(item.row.shard):
             return False
-        if state.now - item.since < patience or state.now < item.preempt_at:
+        if state.now - item.queued_at < patience or state.now < item.next_preemption_at:
             return False
         return self._placement.within_quota(item.row)
 
@@ -184,7 +184,7 @@
         best_row.reserved_for[item.row.task] = item.row.template.shape
         until = state.now + state.settings.preempt_timeout
         self._reservations[item.row.task] = _Reservation(item, best_row.vm, until)
-        item.reserved = True
+        item.has_reservation = True
         best_row.urgent_poll = True
         state.reindex(best_row)
 
@@ -199,14 +199,18 @@
             row
             for row in rows
             if row.was_usable
-            and shape.fits(row.facts.capacity)
+            and shape.fits_within(row.facts.capacity)
             and not (preferences.required and row.hall not in preferences.halls)
         ]
 
     def _victims(self, row: VmRow, item: WaitingTask) -> list[_Victim]:
         """Return the cheapest runs of a VM whose yielding makes room, or nothing."""
         runs = [self._state.runs[name] for name in row.runs]
-        lower = [run for run in runs if run.order > item.order and self._may_yield(run, row)]
+        lower = [
+            run
+            for run in runs
+            if run.priority_rank > item.priority_rank and self._may_yield(run, row)
+        ]
         shape = item.row.template.shape
         room = self._room_to_be(row)
         gentle = [self._option(run, gentle=True) for run in lower if _can_be_gentle(run)]
@@ -249,7 +253,7 @@
         elapsed = self._state.now - run.started_at
         lost = max(1, run.shape.cores) * elapsed
         again = 1.0 + self._recently(run.task)
-        fixed = CLASS_COST * (len(CLASS_ORDER) - run.order)
+        fixed = CLASS_COST * (len(PRIORITY_RANK) - run.priority_rank)
         if run.template.checkpointable:
             cost = again * (fixed + CHECKPOINT_COST * lost)
             return _Victim(run, CommandKind.CHECKPOINT, run.shape, cost)
@@ -281,7 +285,7 @@
         if row.reserved_for or run.run in row.commands or row.free_cores < missing:
             return
         # Charged before the worker is told, since it may use them from then on.
-        state.reshape(run, full)
+        state.resize_run(run, full)
         row.commands[run.run] = CommandKind.RESTORE
         self._throttled.discard(run.run)
 
--- a/src/sablemount/core/systems/quotas.py
+++ b/src/sablemount/core/systems/quotas.py
@@ -76,8 +76,13 @@
     def received(self, ask: QuotaAsk) -> None:
         """Give away what the asked shard does not use."""
         state = self._state
-        held = state.held.get(ask.source)
-        if held is None or not held.opened or not state.leased() or not state.active(ask.source):
+        held = state.held_shards.get(ask.source)
+        if (
+            held is None
+            or not held.recovery_complete
+            or not state.has_lease()
+            or not state.is_active(ask.source)
+        ):
             return
         key = (ask.organisation, ask.source)
         shares = state.ledger.shares
@@ -90,8 +95,8 @@
                 ask.organisation, ask.source, held.epoch, ask.to, cores, accelerators
             )
             # What is on its way out counts as used until the ledger has taken it off the share.
-            if self._journal.write(move, lambda *_: state.spend(key, -cores, -accelerators)):
-                state.spend(key, cores, accelerators)
+            if self._journal.write(move, lambda *_: state.add_usage(key, -cores, -accelerators)):
+                state.add_usage(key, cores, accelerators)
 
 
 def _unused(share: int | None, used: int) -> int:
--- a/src/sablemount/core/systems/reconcile.py
+++ b/src/sablemount/core/systems/reconcile.py
@@ -53,8 +53,8 @@
         row = state.vms.get(event.vm)
         if row is None:
             return
-        row.polling = False
-        held = state.held.get(row.shard)
+        row.poll_in_flight = False
+        held = state.held_shards.get(row.shard)
         if held is None or held.state is HoldState.WAITING or event.sent_at < held.active_at:
             return
         for run in row.runs:
@@ -67,17 +67,17 @@
 
     def _missed(self, row: VmRow) -> None:
         state = self._state
-        row.missed += 1
+        row.missed_polls += 1
         state.meter.count("polls_missed")
-        row.urgent_poll = row.missed < state.settings.lost_after
-        if row.missed >= state.settings.lost_after and row.stage is not VmStage.LOST:
+        row.urgent_poll = row.missed_polls < state.settings.lost_after
+        if row.missed_polls >= state.settings.lost_after and row.stage is not VmStage.LOST:
             row.stage = VmStage.LOST
             state.meter.count("vms_lost")
         state.reindex(row)
 
     def _take(self, row: VmRow, event: PollEnded) -> None:
-        row.missed = 0
-        row.said_leaving = event.leaving
+        row.missed_polls = 0
+        row.reported_leaving = event.leaving
         row.boot = event.boot
         reported = {report.run for report in event.runs}
         row.acknowledge = {run: None for run in row.acknowledge if run in reported}
@@ -101,8 +101,8 @@
                 del row.requests[request]
                 row.free_slots += 1
         foreign = sum(1 for request in listed if request not in row.requests)
-        row.free_slots += row.foreign - foreign
-        row.foreign = foreign
+        row.free_slots += row.foreign_slots - foreign
+        row.foreign_slots = foreign
 
     # -- One run -----------------------------------------------------------------------------
 
@@ -128,7 +128,7 @@
         done = CommandKind.THROTTLE if run.throttled else CommandKind.RESTORE
         if command is done:
             del row.commands[run.run]
-        self._state.reshape(run, report.shape)
+        self._state.resize_run(run, report.shape)
         self._consider_cancel(row, run)
 
     def _consider_cancel(self, row: VmRow, run: RunRow) -> None:
@@ -140,7 +140,7 @@
     def _adopt(self, row: VmRow, report: RunReport) -> RunRow | None:
         """Take over a run that a former owner started; it is charged whatever it is."""
         state = self._state
-        task = state.task_row(report.run)
+        task = state.open_task(report.run)
         wanted = task is not None and task.shard == row.shard and task.task not in state.run_of
         ended = report.state in ENDED_STATES
         if not wanted or (ended and report.state not in (RunState.DONE, RunState.FAILED)):
@@ -170,7 +170,7 @@
         """Take it that a run is not on its VM, if the answer is newer than its start."""
         if run.stage in (RunStage.STARTING, RunStage.ENDED) or sent_at < run.started_at:
             return
-        if run.stage is RunStage.UNCERTAIN and sent_at < run.uncertain_until:
+        if run.stage is RunStage.UNCERTAIN and sent_at < run.start_settles_at:
             return
         lapsed = run.stage is RunStage.LAPSED
         self._state.drop_run(run)
@@ -186,25 +186,25 @@
             return
         if task.cancelled:
             self._finish(task, Verdict.MAY_HAVE_RUN, Reason.CANCELLED.value)
-        elif task.template.repeatable or not task.intent:
+        elif task.template.repeatable or not task.intent_epoch:
             state.meter.count("tasks_requeued")
             self._enqueue(task)
         else:
             self._finish(task, Verdict.MAY_HAVE_RUN, Reason.VM_LOST.value)
 
     def _finish(self, task: TaskRow, verdict: Verdict, reason: str) -> None:
-        if task.service:
+        if task.is_service:
             return
-        held = self._state.held[task.shard]
+        held = self._state.held_shards[task.shard]
         self._journal.write(records.Finish(task.task, held.epoch, verdict, reason))
 
     def _ended(self, run: RunRow, told: RunState) -> None:
         state = self._state
         row = state.vms[run.vm]
         row.commands.pop(run.run, None)
-        state.reshape(run, NOTHING)
+        state.resize_run(run, NOTHING)
         if run.stage is RunStage.ENDED:
-            if state.task_row(run.run) is None:
+            if state.open_task(run.run) is None:
                 self._let_go(run)
             return
         if run.stage is RunStage.LAPSED or told is RunState.LAPSED:
@@ -230,7 +230,7 @@
         if task is None or task.finished:
             self._let_go(run)
             return
-        finish = records.Finish(run.task, state.held[run.shard].epoch, Verdict.DONE, reason)
+        finish = records.Finish(run.task, state.held_shards[run.shard].epoch, Verdict.DONE, reason)
         if self._journal.write(finish, lambda settled, _: self._recorded(run, settled)):
             run.stage = RunStage.ENDED
 
@@ -258,7 +258,7 @@
             self._renewal.note_renewal(run)
         elif event.status is StartStatus.UNKNOWN:
             run.stage = RunStage.UNCERTAIN
-            run.uncertain_until = state.now + state.settings.settle
+            run.start_settles_at = state.now + state.settings.settle
             self._renewal.note_renewal(run)
             state.vms[run.vm].urgent_poll = True
         else:
@@ -269,13 +269,13 @@
         state = self._state
         run.stage = RunStage.RUNNING
         run.started_at = state.now
-        waited = state.now - run.asked_at
+        waited = state.now - run.queued_at
         template = f"{run.organisation}/{run.template.name}"
         within = waited <= run.template.objective.within
-        state.meter.waited(template, run.template.priority.value, waited, within)
+        state.meter.record_wait(template, run.template.priority.value, waited, within)
 
     def _again(self, run: RunRow) -> None:
-        task = self._state.task_row(run.run)
+        task = self._state.open_task(run.run)
         if task is not None:
             self._enqueue(task)
 
@@ -284,7 +284,7 @@
     def run(self) -> None:
         """Let the runs of lost VMs lapse once their leases are certainly over."""
         state = self._state
-        for shard in state.held:
+        for shard in state.held_shards:
             for row in state.shard_vms[shard].values():
                 if row.stage is VmStage.LOST and row.runs:
                     self._lapse(row)
@@ -294,7 +294,7 @@
         for name in list(row.runs):
             run = state.runs[name]
             over = run.stage not in (RunStage.LAPSED, RunStage.ENDED, RunStage.STARTING)
-            if over and state.now >= run.lease_bound:
+            if over and state.now >= run.lease_ends_by:
                 run.stage = RunStage.LAPSED
                 if state.run_of.get(run.task) == name:
                     del state.run_of[run.task]
--- a/src/sablemount/core/systems/recovery.py
+++ b/src/sablemount/core/systems/recovery.py
@@ -2,7 +2,7 @@
 
 from sablemount.core import records
 from sablemount.core.actions import CommandKind
-from sablemount.core.rows import Applied, TaskRow
+from sablemount.core.rows import AppliedRecord, TaskRow
 from sablemount.core.state import State
 from sablemount.core.systems.journal import Journal
 from sablemount.core.systems.placement import Placement
@@ -25,16 +25,16 @@
     def run(self) -> None:
         """Open the shards whose VMs have all answered, or whose former leases have lapsed."""
         state = self._state
-        for held in state.held.values():
-            if held.opened or held.state is not HoldState.ACTIVE:
+        for held in state.held_shards.values():
+            if held.recovery_complete or held.state is not HoldState.ACTIVE:
                 continue
-            if state.recovered(held.shard):
+            if state.previous_runs_known(held.shard):
                 self._open(held)
 
     def _open(self, held: HeldShard) -> None:
         state = self._state
-        held.opened = True
-        state.freed[held.shard] += 1
+        held.recovery_complete = True
+        state.capacity_changes[held.shard] += 1
         state.meter.count("shards_opened")
         self._enqueue_all(held)
 
@@ -45,7 +45,7 @@
             row = state.ledger.tasks[name]
             if name in state.run_of or name in self._placement.queue:
                 continue
-            if row.intent:
+            if row.intent_epoch:
                 # It was about to start under a former owner, and no VM tells what became of it.
                 verdict = Verdict.MAY_HAVE_RUN
                 reason = Reason.VM_LOST.value
@@ -56,35 +56,35 @@
     def _reset(self) -> None:
         """Go on with another ledger: its rows replace those that the queue holds."""
         self._placement.rebind()
-        for held in self._state.held.values():
-            if held.opened:
+        for held in self._state.held_shards.values():
+            if held.recovery_complete:
                 self._enqueue_all(held)
 
     # -- Tasks that come later ---------------------------------------------------------------
 
-    def _applied(self, applied: Applied) -> None:
+    def _applied(self, applied: AppliedRecord) -> None:
         if not applied.accepted:
             return
         body = applied.record.body
         ledger = self._state.ledger
         if isinstance(body, records.Accept):
-            for name in ledger.names_of(body):
+            for name in ledger.task_names(body):
                 self._consider(ledger.tasks[name], new=True)
         elif isinstance(body, records.Move | records.Cancel):
             row = ledger.tasks[body.task]
             self._consider(row)
             self._stop_cancelled(row)
         elif isinstance(body, records.Publish):
-            self._state.note_change()
+            self._state.retry_all_waiting()
             for row in ledger.replicas_of(body.key):
                 self._consider(row)
                 self._stop_cancelled(row)
         elif isinstance(body, records.QuotaMove):
-            self._state.note_change()
+            self._state.retry_all_waiting()
 
     def _consider(self, row: TaskRow, new: bool = False) -> None:
-        held = self._state.held.get(row.shard)
-        if held is None or row.finished or not (held.opened or new):
+        held = self._state.held_shards.get(row.shard)
+        if held is None or row.finished or not (held.recovery_complete or new):
             return
         if row.task not in self._state.run_of:
             self._placement.enqueue(row, new)
--- a/src/sablemount/core/systems/renewal.py
+++ b/src/sablemount/core/systems/renewal.py
@@ -29,19 +29,19 @@
             _, vm = heapq.heappop(self._due)
             self._scheduled.discard(vm)
             row = state.vms.get(vm)
-            if row is not None and row.shard in state.held:
+            if row is not None and row.shard in state.held_shards:
                 self._poll_due(row)
 
     def poll_urgently(self) -> None:
         """Poll the VMs that commands wait for."""
-        for shard in self._state.held:
+        for shard in self._state.held_shards:
             for row in self._state.shard_vms[shard].values():
-                if row.urgent_poll and not row.polling:
+                if row.urgent_poll and not row.poll_in_flight:
                     self._poll(row)
 
     def _schedule_new(self) -> None:
         state = self._state
-        for shard, held in state.held.items():
+        for shard, held in state.held_shards.items():
             if held.state is HoldState.WAITING:
                 continue
             rows = state.shard_vms[shard]
@@ -57,10 +57,10 @@
 
     def _poll_due(self, row: VmRow) -> None:
         interval = self._state.settings.renew_interval
-        busy = bool(row.runs or row.orphans or row.requests or row.foreign)
+        busy = bool(row.runs or row.orphans or row.requests or row.foreign_slots)
         spread = 0.9 + 0.2 * self._state.rng.random()
         self._push(row.vm, self._state.now + interval * spread * (1.0 if busy else IDLE_FACTOR))
-        if not row.polling:
+        if not row.poll_in_flight:
             self._poll(row)
 
     def _poll(self, row: VmRow) -> None:
@@ -68,7 +68,7 @@
         limit = state.lease_until + state.settings.renew_grace
         if state.now >= limit:
             return
-        row.polling = True
+        row.poll_in_flight = True
         row.urgent_poll = False
         state.meter.count("polls")
         state.emit(
@@ -91,7 +91,7 @@
 
     def _commands(self, row: VmRow) -> tuple[RunCommand, ...]:
         """Return the commands, given again at each poll until the worker's word shows the end."""
-        if not self._state.leased():
+        if not self._state.has_lease():
             return ()
         given = [RunCommand(run, kind) for run, kind in row.commands.items()]
         given.extend(RunCommand(run, CommandKind.STOP) for run in row.orphans)
@@ -101,4 +101,4 @@
         """Move the time up to which a run's lease may last at the worker."""
         settings = self._state.settings
         lease = settings.run_lease * (1 + settings.drift) + settings.settle
-        run.lease_bound = self._state.now + lease
+        run.lease_ends_by = self._state.now + lease
--- a/src/sablemount/core/systems/requests.py
+++ b/src/sablemount/core/systems/requests.py
@@ -109,7 +109,7 @@
     def _count_failure(self, arrival: RequestArrived, reason: Reason) -> None:
         """Count a failure where the caller is: a peer's own count would make it two."""
         if not arrival.forwarded:
-            self._state.meter.failed(arrival.template, reason.value)
+            self._state.meter.record_failure(arrival.template, reason.value)
 
     # -- Keys --------------------------------------------------------------------------------
 
@@ -145,7 +145,7 @@
     # -- Routing -----------------------------------------------------------------------------
 
     def _route(self, request: RequestRow) -> None:
-        if self._queue.ahead_of(request.order) or not self._dispatch(request):
+        if self._queue.count_ahead(request.priority_rank) or not self._dispatch(request):
             self._enqueue(request)
 
     def _dispatch(self, request: RequestRow) -> bool:
@@ -153,8 +153,8 @@
         state = self._state
         if state.now < request.not_before:
             return False
-        if state.leased():
-            row = state.slots.choose(ONE_SLOT, state.rng, CHOICES)
+        if state.has_lease():
+            row = state.slot_index.choose(ONE_SLOT, state.rng, CHOICES)
             if row is not None:
                 self._serve(request, row)
                 return True
@@ -168,9 +168,9 @@
     def _serve(self, request: RequestRow, row: VmRow) -> None:
         state = self._state
         arrival = request.arrival
-        if not request.attempt:
+        if not request.attempts:
             self._count_wait(request)
-        request.attempt += 1
+        request.attempts += 1
         request.sent = True
         row.requests[arrival.request] = float("inf")
         row.free_slots -= 1
@@ -178,7 +178,7 @@
         state.emit(
             Serve(
                 arrival.request,
-                request.attempt,
+                request.attempts,
                 row.vm,
                 arrival.body,
                 arrival.deadline,
@@ -188,10 +188,12 @@
         )
 
     def _count_wait(self, request: RequestRow) -> None:
-        waited = self._state.now - request.arrived
+        waited = self._state.now - request.arrived_at
         template = request.template
         within = waited <= template.objective.within
-        self._state.meter.waited(request.arrival.template, template.priority.value, waited, within)
+        self._state.meter.record_wait(
+            request.arrival.template, template.priority.value, waited, within
+        )
 
     def _roomy_peer(self) -> str | None:
         """Return the roomier of two random peers that lately said they had a free slot."""
@@ -200,7 +202,7 @@
         roomy = [
             peer
             for peer in state.peers.values()
-            if peer.free_slots > 0 and peer.heard_at > fresh and not peer.stopping
+            if peer.free_slots > 0 and peer.last_heartbeat_at > fresh and not peer.stopping
         ]
         if not roomy:
             return None
@@ -218,7 +220,7 @@
 
     def _enqueue(self, request: RequestRow) -> None:
         if self._queue.full:
-            victim = self._queue.pop_least_paid(request.order)
+            victim = self._queue.pop_lowest_priority(request.priority_rank)
             if victim is None:
                 self._shed(request)
                 return
@@ -230,21 +232,21 @@
 
     def _wait_ahead(self, order: int) -> float:
         """Return how long what is queued ahead will take, in seconds."""
-        return self._queue.ahead_of(order) * self._service_time / max(1, self._slots_total)
+        return self._queue.count_ahead(order) * self._service_time / max(1, self._slots_total)
 
     def _hopeless(self, request: RequestRow) -> bool:
         """Tell whether a deadline will pass before the request's turn comes."""
-        wait = self._wait_ahead(request.order)
+        wait = self._wait_ahead(request.priority_rank)
         return self._state.now + wait > request.arrival.deadline
 
     def _shed(self, request: RequestRow) -> None:
-        retry_after = min(5.0, 0.2 + self._wait_ahead(request.order))
+        retry_after = min(5.0, 0.2 + self._wait_ahead(request.priority_rank))
         verdict = Verdict.MAY_HAVE_RUN if request.may_have_run else Verdict.NOT_RUN
         self._fail(request, verdict, Reason.OVERLOADED, "", retry_after)
 
     def pump(self) -> None:
         """Send what waits for as long as there is room."""
-        while (request := self._queue.first()) is not None:
+        while (request := self._queue.peek()) is not None:
             gone = request.name not in self._requests
             late = not gone and request.arrival.deadline <= self._state.now
             if not gone and not late and not self._dispatch(request):
@@ -263,7 +265,7 @@
                 self._queue.push_front(request)
             else:
                 self._delayed.append(request)
-        for request in self._queue.pop_late(self._state.now):
+        for request in self._queue.pop_expired(self._state.now):
             if request.name in self._requests:
                 self._give_up(request)
         self.pump()
@@ -273,7 +275,7 @@
         if state.now < self._next_count:
             return
         self._next_count = state.now + COUNT_INTERVAL
-        rows = (row for shard in state.held for row in state.shard_vms[shard].values())
+        rows = (row for shard in state.held_shards for row in state.shard_vms[shard].values())
         self._slots_total = sum(row.facts.capacity.slots for row in rows if row.was_usable)
 
     def _give_up(self, request: RequestRow) -> None:
@@ -294,7 +296,7 @@
         self.pump()
 
     def _free_slot(self, row: VmRow, event: RequestEnded) -> None:
-        if event.free and row.requests.pop(event.request, None) is not None:
+        if event.slot_released and row.requests.pop(event.request, None) is not None:
             row.free_slots += 1
         elif event.request in row.requests:
             row.requests[event.request] = self._state.now
@@ -322,7 +324,7 @@
     def _may_retry(self, request: RequestRow, failure: Failure) -> bool:
         if failure.verdict is Verdict.MAY_HAVE_RUN and not request.template.repeatable:
             return False
-        if request.attempt >= self._state.settings.request_attempts:
+        if request.attempts >= self._state.settings.request_attempts:
             return False
         if request.arrival.deadline <= self._state.now:
             return False
@@ -331,9 +333,9 @@
     def _retry(self, request: RequestRow) -> None:
         state = self._state
         state.meter.count("retries")
-        pause = BACKOFF * (1 << request.attempt) * state.rng.random()
+        pause = BACKOFF * (1 << request.attempts) * state.rng.random()
         request.not_before = state.now + pause
-        request.attempt = max(1, request.attempt)
+        request.attempts = max(1, request.attempts)
         # A peer that certainly did not run it leaves the way to another one open.
         request.sent = request.may_have_run
         self._delayed.append(request)
--- a/src/sablemount/core/systems/snapshots.py
+++ b/src/sablemount/core/systems/snapshots.py
@@ -24,7 +24,7 @@
     def run(self) -> None:
         """Write a snapshot if it is this member's turn."""
         state = self._state
-        age = state.ledger.offset - state.ledger.snapshot_upto
+        age = state.ledger.offset - state.ledger.snapshot_offset
         if age < state.settings.snapshot_entries or not self._membership.joined:
             return
         if not self._journal.healthy or self._journal.waiting(records.SnapshotPart):
--- a/src/sablemount/core/systems/stopping.py
+++ b/src/sablemount/core/systems/stopping.py
@@ -32,7 +32,7 @@
         state = self._state
         if not state.stopping or self._told:
             return
-        if state.held or self._requests.in_flight:
+        if state.held_shards or self._requests.in_flight:
             return
         if self._membership.joined and not self._left:
             self._left = self._journal.write(records.Leave())
--- a/src/sablemount/core/tables.py
+++ b/src/sablemount/core/tables.py
@@ -1,9 +1,9 @@
-"""Tables of the live state that one scheduler keeps; none of it outlives the process."""
+"""Rows of the in-memory state of one scheduler; nothing here is persistent."""
 
 import enum
 
 from sablemount.core.actions import CommandKind
-from sablemount.core.documents import CLASS_ORDER, Shape, TemplateDocument
+from sablemount.core.documents import PRIORITY_RANK, Shape, TemplateDocument
 from sablemount.core.facts import VmFacts
 from sablemount.core.rows import TaskRow
 
@@ -22,12 +22,12 @@
 
 
 def task_of(run: str) -> str:
-    """Return the task that a run belongs to."""
+    """Return the name of the task that a run belongs to."""
     return run.rsplit(RUN_SEPARATOR, 1)[0]
 
 
 class VmStage(enum.Enum):
-    """What this scheduler knows of a VM of its own shards."""
+    """State of a VM as known to the owner of its shard."""
 
     UNKNOWN = "unknown"
     USABLE = "usable"
@@ -36,11 +36,13 @@
 
 
 class VmRow:
-    """One VM: its capacity, what is granted of it, and how it answers.
+    """One VM: its capacity, the part of it that is in use, and its polls.
 
-    ``requests`` gives for each request sent to it the time at which it was given up, or infinity.
-    ``foreign`` counts slots that requests of other schedulers hold; ``orphans`` are runs that
-    belong to no open task.
+    ``requests`` maps each request sent to the VM to the time at which it was abandoned, or to
+    infinity while it is in flight. ``foreign_slots`` is the number of slots held by requests of
+    other schedulers. ``orphans`` are runs that belong to no open task, with the shapes charged for
+    them. ``reserved_for`` maps the tasks for which preemption frees capacity to their shapes.
+    ``bucket_position`` and ``slot_position`` are the row's positions in the indexes.
     """
 
     __slots__ = (
@@ -52,29 +54,29 @@
         "commands",
         "cores",
         "ejected_until",
-        "errors",
+        "consecutive_failures",
         "facts",
-        "foreign",
+        "foreign_slots",
         "free_accelerators",
         "free_cores",
         "free_memory",
         "free_slots",
         "hall",
         "leaving",
-        "listed",
-        "missed",
+        "in_vm_list",
+        "missed_polls",
         "next_poll",
         "orphans",
-        "place",
-        "polling",
+        "bucket_position",
+        "poll_in_flight",
         "rack",
         "reconciled",
         "requests",
         "reserved_for",
         "runs",
-        "said_leaving",
+        "reported_leaving",
         "shard",
-        "slot_place",
+        "slot_position",
         "stage",
         "urgent_poll",
         "vm",
@@ -96,8 +98,8 @@
         self.free_slots = facts.capacity.slots
         self.stage = VmStage.UNKNOWN
         self.leaving = facts.leaving
-        self.said_leaving = False
-        self.listed = True
+        self.reported_leaving = False
+        self.in_vm_list = True
         self.reconciled = False
         self.boot = ""
         self.runs: dict[str, None] = {}
@@ -105,25 +107,25 @@
         self.commands: dict[str, CommandKind] = {}
         self.acknowledge: dict[str, None] = {}
         self.requests: dict[str, float] = {}
-        self.foreign = 0
-        self.missed = 0
+        self.foreign_slots = 0
+        self.missed_polls = 0
         self.next_poll = 0.0
-        self.polling = False
+        self.poll_in_flight = False
         self.urgent_poll = False
-        self.errors = 0
+        self.consecutive_failures = 0
         self.ejected_until = 0.0
         self.reserved_for: dict[str, Shape] = {}
         self.was_usable = False
         self.bucket: list[VmRow] | None = None
-        self.place = -1
-        self.slot_place = -1
+        self.bucket_position = -1
+        self.slot_position = -1
 
-    def forget(self) -> None:
-        """Forget what was learned as the owner; the requests in flight stay charged."""
+    def reset_ownership_state(self) -> None:
+        """Discard what only the shard's owner knows; requests in flight stay charged."""
         for shape in self.orphans.values():
             self.release(shape)
-        self.free_slots += self.foreign
-        self.foreign = 0
+        self.free_slots += self.foreign_slots
+        self.foreign_slots = 0
         self.orphans.clear()
         self.commands.clear()
         self.acknowledge.clear()
@@ -131,10 +133,10 @@
         self.reconciled = False
         self.stage = VmStage.UNKNOWN
         self.boot = ""
-        self.missed = 0
+        self.missed_polls = 0
 
-    def has_room(self, shape: Shape) -> bool:
-        """Tell whether a shape fits into what is free."""
+    def can_fit(self, shape: Shape) -> bool:
+        """Return whether a shape fits into the free capacity."""
         return (
             shape.cores <= self.free_cores
             and shape.memory_mb <= self.free_memory
@@ -143,14 +145,14 @@
         )
 
     def charge(self, shape: Shape) -> None:
-        """Take a shape from what is free."""
+        """Subtract a shape from the free capacity."""
         self.free_cores -= shape.cores
         self.free_memory -= shape.memory_mb
         self.free_accelerators -= shape.accelerators
         self.free_slots -= shape.slots
 
     def release(self, shape: Shape) -> None:
-        """Give a shape back to what is free."""
+        """Add a shape to the free capacity."""
         self.free_cores += shape.cores
         self.free_memory += shape.memory_mb
         self.free_accelerators += shape.accelerators
@@ -158,10 +160,11 @@
 
 
 class RunStage(enum.Enum):
-    """Where a run stands, as far as its scheduler knows.
+    """State of a run as known to its scheduler.
 
-    ``LAPSED`` is a run whose lease is certainly over while its VM does not answer: the task may
-    run elsewhere, and the VM stays charged until it answers.
+    ``UNCERTAIN`` is a run whose start request has an unknown outcome. ``LAPSED`` is a run whose
+    lease has certainly expired while its VM does not answer: its task may start elsewhere, and the
+    VM stays charged until it answers.
     """
 
     STARTING = "starting"
@@ -173,14 +176,19 @@
 
 
 class RunRow:
-    """One run of a task on a VM; ``shape`` is what is charged for it."""
+    """One run of a task on a VM.
+
+    ``shape`` is what is charged for the run, ``queued_at`` the time at which its task began to
+    wait, and ``lease_ends_by`` the latest time at which the worker may still hold a lease. A poll
+    that was sent before ``start_settles_at`` doesn't show that an uncertain start has failed.
+    """
 
     __slots__ = (
-        "asked_at",
+        "queued_at",
         "ended",
         "job",
-        "lease_bound",
-        "order",
+        "lease_ends_by",
+        "priority_rank",
         "organisation",
         "run",
         "shape",
@@ -190,7 +198,7 @@
         "task",
         "template",
         "throttled",
-        "uncertain_until",
+        "start_settles_at",
         "vm",
     )
 
@@ -200,21 +208,21 @@
         self.job = row.job
         self.template: TemplateDocument = row.template
         self.organisation = row.template.organisation
-        self.order = CLASS_ORDER[row.template.priority]
+        self.priority_rank = PRIORITY_RANK[row.template.priority]
         self.vm = vm
         self.shard = row.shard
         self.shape = row.template.shape
         self.stage = RunStage.STARTING
-        self.asked_at = now
+        self.queued_at = now
         self.started_at = now
-        self.lease_bound = 0.0
-        self.uncertain_until = 0.0
+        self.lease_ends_by = 0.0
+        self.start_settles_at = 0.0
         self.ended = ""
         self.throttled = False
 
 
 class HoldState(enum.Enum):
-    """Where the holding of a shard stands."""
+    """State of a shard that this scheduler owns."""
 
     WAITING = "waiting"
     ACTIVE = "active"
@@ -222,32 +230,38 @@
 
 
 class HeldShard:
-    """A shard that this scheduler owns by the ledger.
+    """A shard that this scheduler owns according to the ledger.
 
-    ``opened`` tells that all that a former owner started is known, so its tasks may be placed.
+    The scheduler acts on the shard from ``active_at`` on, and all leases that a previous owner
+    granted have expired at ``leases_expire_at``. ``recovery_complete`` is set once all runs of
+    previous owners are known or have lapsed, so that every waiting task may be placed.
     """
 
-    __slots__ = ("active_at", "epoch", "lapse_at", "opened", "shard", "state")
+    __slots__ = ("active_at", "epoch", "leases_expire_at", "recovery_complete", "shard", "state")
 
-    def __init__(self, shard: int, epoch: int, active_at: float, lapse_at: float) -> None:
+    def __init__(self, shard: int, epoch: int, active_at: float, leases_expire_at: float) -> None:
         self.shard = shard
         self.epoch = epoch
         self.active_at = active_at
-        self.lapse_at = lapse_at
+        self.leases_expire_at = leases_expire_at
         self.state = HoldState.WAITING
-        self.opened = False
+        self.recovery_complete = False
 
 
 class PeerRow:
-    """What this scheduler has heard of another member."""
+    """What this scheduler knows of another member.
+
+    ``last_gossip_at`` is the time of its last heartbeat by gossip. ``last_heartbeat_at`` counts
+    its records in the log as heartbeats too.
+    """
 
     __slots__ = (
         "beat",
         "free_accelerators",
         "free_cores",
         "free_slots",
-        "gossiped_at",
-        "heard_at",
+        "last_gossip_at",
+        "last_heartbeat_at",
         "incarnation",
         "name",
         "offset",
@@ -259,8 +273,8 @@
         self.name = name
         self.incarnation = incarnation
         self.beat = -1
-        self.heard_at = now
-        self.gossiped_at = now
+        self.last_heartbeat_at = now
+        self.last_gossip_at = now
         self.offset = 0
         self.free_slots = 0
         self.free_cores = 0
--- a/src/sablemount/entry/views.py
+++ b/src/sablemount/entry/views.py
@@ -103,7 +103,7 @@
     elif run is not None:
         stage = run.stage.value
     else:
-        stage = "waiting" if row.shard in state.held else "accepted"
+        stage = "waiting" if row.shard in state.held_shards else "accepted"
     return TaskView(
         row.task,
         row.job,
@@ -128,7 +128,7 @@
     state = scheduler.state
     owner = state.ledger.shards[row.shard].owner
     free = None
-    if row.shard in state.held and row.reconciled:
+    if row.shard in state.held_shards and row.reconciled:
         free = Shape(
             max(0, row.free_cores),
             max(0, row.free_memory),
@@ -141,8 +141,8 @@
         row.rack,
         row.shard,
         owner.name if owner else "",
-        row.stage.value if row.shard in state.held else "",
-        scheduler.state.leaving(row),
+        row.stage.value if row.shard in state.held_shards else "",
+        scheduler.state.is_leaving(row),
         row.facts.capacity,
         free,
     )
@@ -153,13 +153,13 @@
     state = scheduler.state
     views = []
     for row in state.ledger.shards:
-        held = state.held.get(row.shard)
+        held = state.held_shards.get(row.shard)
         views.append(
             ShardView(
                 row.shard,
                 row.owner.name if row.owner else "",
                 row.epoch,
-                len(state.ledger.vms[row.shard]),
+                len(state.ledger.enrolled_vms[row.shard]),
                 len(state.ledger.open_tasks[row.shard]),
                 held.state.value if held else "",
             )
@@ -186,7 +186,7 @@
                 state.ledger.halls[name],
                 shard_counts.get(name, 0),
                 state.ledger.offset if is_self else (peer.offset if peer else 0),
-                0.0 if is_self or peer is None else round(state.now - peer.heard_at, 3),
+                0.0 if is_self or peer is None else round(state.now - peer.last_heartbeat_at, 3),
             )
         )
     return views
--- a/src/sablemount/metrics.py
+++ b/src/sablemount/metrics.py
@@ -33,9 +33,9 @@
             "sablemount_state", "State of the scheduler", registry=self._registry
         )
 
-    def waited(self, template: str, priority: str, seconds: float, within: bool) -> None:
+    def record_wait(self, template: str, priority: str, seconds: float, within: bool) -> None:
         """Record the seconds from request to start, and whether they met the objective."""
-        super().waited(template, priority, seconds, within)
+        super().record_wait(template, priority, seconds, within)
         self._wait_histogram.observe({"priority": priority}, seconds)
 
     def render_metrics(
@@ -47,12 +47,12 @@
         state = scheduler.state
         gauges = {
             "applied_offset": state.ledger.offset,
-            "shards_held": len(state.held),
+            "shards_held": len(state.held_shards),
             "runs": len(state.runs),
             "requests_in_flight": scheduler.requests.in_flight,
             "tasks_waiting": len(scheduler.placement.queue),
             "members": len(state.ledger.members),
-            "leased": int(state.leased()),
+            "leased": int(state.has_lease()),
         }
         for name, value in gauges.items():
             self._state_gauge.set({"value": name}, value)
--- a/tests/emulator/system.py
+++ b/tests/emulator/system.py
@@ -1,4 +1,4 @@
-"""The emulated system: members that are started and killed, callers, and what must hold."""
+"""The emulated system: members that can be started and killed, callers, and final checks."""
 
 import asyncio
 import contextvars
@@ -32,35 +32,35 @@
 from sablemount.platform.workers import PlatformAdvice
 from tests.emulator.advice import AdviceNetwork, EmulatedAdvice
 from tests.emulator.loop import OWNER, resume, suspend
-from tests.emulator.narrow import NarrowLink, NarrowStore
-from tests.emulator.network import Wires
+from tests.emulator.narrow import LimitedLink, LimitedLinkStore
+from tests.emulator.network import EmulatedNetwork
 from tests.emulator.store import EmulatedStore
-from tests.emulator.transit import DelayedStore, Transit
+from tests.emulator.transit import DelayedStore, StorePathFaults
 from tests.emulator.vm import Vm
 from tests.emulator.vms import Cell, loop_time
-from tests.emulator.watch import Watch, WatchedState
-from tests.emulator.watched import WatchedMember, WatchedVms
+from tests.emulator.watch import CheckedStoreState, InvariantChecker
+from tests.emulator.watched import CheckedMember, CheckedVms
 
 HOST = "queues.example"
 PREFIX = "/queue/"
 CAPACITY = Shape(16_000, 64_000, 0)
-TIMEOUT = 2.7
-RETRIES = 6
-CRASHES_GIVE_UP = 2
-"""VMs that have to crash under a task for it to be given up."""
+CALL_TIMEOUT_S = 2.7
+MAX_ATTEMPTS = 6
+CRASHES_UNTIL_FAILED = 2
+"""Crashes of VMs under a task after which its job may be reported as failed."""
 
 
-LISTED_AFTER = (0.0, 0.5)
-"""Seconds after its start until a VM has written its entry."""
-ENTRY_KEPT = 4.5
-"""Seconds for which the entry of a VM that says nothing more stands."""
-STORE_POLL = 0.05
+LISTING_DELAY_S = (0.0, 0.5)
+"""Range of seconds from the start of a VM until it has written its directory entry."""
+ENTRY_KEPT_S = 4.5
+"""Seconds for which the entry of a VM stays listed after the VM has ended."""
+STORE_POLL_INTERVAL_S = 0.05
 
 
-def entry(vm: Vm) -> bytes:
-    """Return what a VM says of itself in the store."""
+def directory_entry(vm: Vm) -> bytes:
+    """Return a VM's directory entry as it stands in the store."""
     info = vm.info
-    told = {
+    fields = {
         "service": info.pool,
         "addr": info.address,
         "zone": "z",
@@ -71,13 +71,13 @@
         "labels": info.labels,
         "machine": info.machine,
         "seq": info.revision,
-        "born": vm.born,
+        "born": vm.started_at_ms,
     }
-    return json.dumps(told).encode()
+    return json.dumps(fields).encode()
 
 
 class Codec(PlatformDirectory):
-    """Reads VMs' entries as the product does, and configurations as the emulation writes them."""
+    """Reads VM entries as the product does, and configurations as the emulation encodes them."""
 
     def configuration(self, record: Record) -> Configuration | None:
         if record.key != "config" or not record.value:
@@ -86,32 +86,32 @@
 
 
 class System:
-    """A running system."""
+    """A system of members, VMs, store and network that runs in virtual time."""
 
     def __init__(self, seed: int, members: int = 4, vms: int = 6, advice: bool = False) -> None:
         self.rng = random.Random(seed)
-        self.watch = Watch()
-        self.store = WatchedState(random.Random(seed + 1), self.watch)
-        self.transit = Transit(random.Random(seed + 3))
+        self.checker = InvariantChecker()
+        self.store = CheckedStoreState(random.Random(seed + 1), self.checker)
+        self.store_path = StorePathFaults(random.Random(seed + 3))
         self.cell = Cell(random.Random(seed + 2))
-        self.cell.on_crash = self._crashed
-        self.wires = Wires()
-        self.members: dict[str, WatchedMember] = {}
+        self.cell.on_task_crash = self._on_task_crashes_vm
+        self.network = EmulatedNetwork()
+        self.members: dict[str, CheckedMember] = {}
         self.names = [f"m{number}" for number in range(members)]
         self.accepted: set[str] = set()
         self.refused: set[str] = set()
         self.cancelled: set[str] = set()
-        self.open_calls = 0
+        self.open_submissions = 0
         self.fail_closed = False
-        """Whether members refuse callers while nobody confirms their configuration."""
-        self.ids_stay = False
-        """Whether VMs that crash start again under their ids."""
-        self.limits: dict[str, MachineLimits] = {}
-        """What the machines of some members give them; the others have enough of everything."""
-        self.links: dict[str, NarrowLink] = {}
-        """Links of some members to the store; those of the others carry all at once."""
-        self._life = 0
-        self.cell.advised = advice
+        """Whether members refuse callers while their configuration is unconfirmed."""
+        self.keeps_vm_ids = False
+        """Whether VMs that crash start again under the same id."""
+        self.machine_limits: dict[str, MachineLimits] = {}
+        """Machine limits by member; a member that is not listed has no limit."""
+        self.store_links: dict[str, LimitedLink] = {}
+        """Links to the store by member; a member that is not listed has unlimited bandwidth."""
+        self._started_members = 0
+        self.cell.requires_ticket = advice
         self._advice = AdviceTerms(5.0, 0.1, 2000.0) if advice else None
         for number in range(vms):
             address = f"10.0.0.{number + 1}:8240"
@@ -128,9 +128,9 @@
         public: bool = False,
         idle: int = 0,
     ) -> None:
-        """Write a configuration; callers need keys once it names organisations.
+        """Publish a configuration; callers need keys if it names organisations.
 
-        ``idle`` is how many queues it has that nobody calls.
+        ``idle`` is the number of additional queues without callers.
         """
         terms = QueueTerms("work", "pool", 0, self.cell.max_attempts, 2.0, 1000.0, self._advice)
         configuration = Configuration(
@@ -140,15 +140,15 @@
             organisations=organisations or (),
             pools=frozenset({"pool"}),
         )
-        self.cell.configured(configuration.organisations, loop_time())
+        self.cell.record_caps(configuration.organisations, loop_time())
         value = msgspec.msgpack.encode(configuration)
         self.store.topics[Topic.CONFIGURATION].add([Record("config", value)])
 
     def list_vm(self, vm: Vm) -> None:
-        self.store.topics[Topic.VMS].add([Record(vm.info.name, entry(vm))])
+        self.store.topics[Topic.VMS].add([Record(vm.info.name, directory_entry(vm))])
 
-    def list_foreign(self, key: str, value: bytes) -> None:
-        """Let another writer put something beside the VMs' entries."""
+    def write_foreign_entry(self, key: str, value: bytes) -> None:
+        """Write a foreign record into the topic of the VM entries."""
         self.store.topics[Topic.VMS].add([Record(key, value)])
 
     def unlist_vm(self, vm: Vm) -> None:
@@ -158,38 +158,41 @@
         vm.info = msgspec.structs.replace(vm.info, draining=True)
         self.list_vm(vm)
 
-    def crash_vm(self, vm: Vm, back_after: float | None) -> None:
-        if back_after is not None and self.ids_stay:
-            self.restart_vm(vm, back_after)
+    def crash_vm(self, vm: Vm, restart_delay_s: float | None) -> None:
+        if restart_delay_s is not None and self.keeps_vm_ids:
+            self.restart_vm(vm, restart_delay_s)
             return
         self.cell.crash(vm)
-        if back_after is not None:
-            asyncio.get_running_loop().call_later(back_after, self._vm_back, vm)
+        if restart_delay_s is not None:
+            asyncio.get_running_loop().call_later(restart_delay_s, self._replace_vm, vm)
 
-    def restart_vm(self, vm: Vm, back_after: float, capacity: Shape = CAPACITY) -> None:
-        """Crash a VM that starts again under its id; its entry stands for a while meanwhile."""
+    def restart_vm(self, vm: Vm, restart_delay_s: float, capacity: Shape = CAPACITY) -> None:
+        """Crash a VM and start it again under the same id.
+
+        Its entry stays listed for up to ``ENTRY_KEPT_S`` in between.
+        """
         if not vm.up:
             return
         self.cell.crash(vm)
-        asyncio.create_task(self._restarts(vm, back_after, capacity))
+        asyncio.create_task(self._replace_incarnation(vm, restart_delay_s, capacity))
 
-    async def _restarts(self, vm: Vm, back_after: float, capacity: Shape) -> None:
-        await asyncio.sleep(min(back_after, ENTRY_KEPT))
-        if back_after > ENTRY_KEPT:
+    async def _replace_incarnation(self, vm: Vm, restart_delay_s: float, capacity: Shape) -> None:
+        await asyncio.sleep(min(restart_delay_s, ENTRY_KEPT_S))
+        if restart_delay_s > ENTRY_KEPT_S:
             self.unlist_vm(vm)
-            await asyncio.sleep(back_after - ENTRY_KEPT)
+            await asyncio.sleep(restart_delay_s - ENTRY_KEPT_S)
         new = self.cell.restart(vm, capacity)
-        await asyncio.sleep(self.rng.uniform(*LISTED_AFTER))
+        await asyncio.sleep(self.rng.uniform(*LISTING_DELAY_S))
         while self.store.down:
-            await asyncio.sleep(STORE_POLL)
+            await asyncio.sleep(STORE_POLL_INTERVAL_S)
         if new.up:
             self.list_vm(new)
 
-    def _crashed(self, vm: Vm) -> None:
-        """Take that a task has crashed its VM, which is back some seconds later."""
+    def _on_task_crashes_vm(self, vm: Vm) -> None:
+        """Handle a VM that a task crashes: it is replaced some seconds later."""
         self.crash_vm(vm, self.rng.uniform(1.0, 4.0))
 
-    def _vm_back(self, vm: Vm) -> None:
+    def _replace_vm(self, vm: Vm) -> None:
         info = vm.info
         self.store.topics[Topic.VMS].add([Record(info.name)])
         self.list_vm(self.cell.add(info.machine, info.rack, CAPACITY, info.address))
@@ -197,73 +200,75 @@
     # -- Members -----------------------------------------------------------------------------
 
     def suspend(self, name: str) -> None:
-        """Let nothing of a member run, while time goes by and nobody hears of it."""
-        self.wires.silent.add(name)
+        """Suspend a member: none of its code runs, its time goes on, and its network is silent."""
+        self.network.unreachable.add(name)
         suspend(name)
 
     def resume(self, name: str) -> None:
-        """Let a suspended member go on where it was."""
+        """Resume a suspended member where it stopped."""
         if resume(name):
-            self.wires.silent.discard(name)
+            self.network.unreachable.discard(name)
 
     def start(self, name: str) -> None:
         contextvars.copy_context().run(self._start, name)
 
     def _start(self, name: str) -> None:
         OWNER.set(name)
-        self._life += 1
-        advice = EmulatedAdvice(lambda vm: self.cell.newest(vm).life)
+        self._started_members += 1
+        advice = EmulatedAdvice(lambda vm: self.cell.newest_incarnation(vm).incarnation)
         ports = LeaderPorts(
             self._store_of(name),
-            WatchedVms(self.cell, self.watch, partial(self.wires.parted, name)),
+            CheckedVms(self.cell, self.checker, partial(self.network.is_partitioned, name)),
             PlatformAdvice("advice", AdviceNetwork(advice)),  # type: ignore[arg-type]
             Codec(),
         )
-        limits = self.limits.get(name, MachineLimits())
+        limits = self.machine_limits.get(name, MachineLimits())
         settings = MemberSettings(name, name, JobSettings(), limits, self.fail_closed)
         rng = random.Random(self.rng.getrandbits(32))
-        member = WatchedMember(settings, ports, self.wires.port(name), rng, self.watch)
+        member = CheckedMember(
+            settings, ports, self.network.member_network(name), rng, self.checker
+        )
         self.members[name] = member
         member.start()
 
     def _store_of(self, name: str) -> EmulatedStore:
-        link = self.links.get(name)
+        link = self.store_links.get(name)
         if link is None:
-            return DelayedStore(self.store, name, self.transit)
-        return NarrowStore(self.store, name, link)
+            return DelayedStore(self.store, name, self.store_path)
+        return LimitedLinkStore(self.store, name, link)
 
     def start_all(self) -> None:
         for name in self.names:
             if name not in self.members:
                 self.start(name)
 
-    def kill(self, name: str, back_after: float | None) -> None:
+    def kill(self, name: str, restart_delay_s: float | None) -> None:
         member = self.members.pop(name, None)
         if member is not None:
             member.close()
-        # What was kept of a suspended one finds that it is over.
+        # The held callbacks of a suspended member run, and find it closed.
         resume(name)
-        if back_after is not None:
-            asyncio.get_running_loop().call_later(back_after, self._back, name)
+        if restart_delay_s is not None:
+            asyncio.get_running_loop().call_later(restart_delay_s, self._restart_member, name)
 
-    def _back(self, name: str) -> None:
-        self.wires.silent.discard(name)
+    def _restart_member(self, name: str) -> None:
+        self.network.unreachable.discard(name)
         if name not in self.members:
             self.start(name)
 
-    def power_off(self, name: str, back_after: float) -> None:
-        """Kill a member so that its connections say nothing of it."""
-        self.wires.silent.add(name)
-        self.kill(name, back_after)
+    def power_off(self, name: str, restart_delay_s: float) -> None:
+        """Kill a member without closing its connections: its peers see silence."""
+        self.network.unreachable.add(name)
+        self.kill(name, restart_delay_s)
 
-    async def stop(self, name: str, back_after: float) -> None:
-        """Stop a member as planned."""
+    async def stop(self, name: str, restart_delay_s: float) -> None:
+        """Stop a member gracefully, and kill it if it still runs a second later."""
         member = self.members.get(name)
         if member is not None:
             await member.stop()
             await asyncio.sleep(1.0)
             if self.members.get(name) is member:
-                self.kill(name, back_after)
+                self.kill(name, restart_delay_s)
 
     def leader(self) -> str | None:
         for name, member in self.members.items():
@@ -274,31 +279,31 @@
     # -- Callers -----------------------------------------------------------------------------
 
     async def call(self, call: CallerCall, digest: bytes | None = None) -> CallerReply | None:
-        """Call any member; ``None`` if it died before it answered."""
+        """Call a random member; return ``None`` if it was killed before it replied."""
         names = list(self.members)
         if not names:
             await asyncio.sleep(0.2)
             return None
         member = self.members[self.rng.choice(names)]
-        task = asyncio.get_running_loop().create_task(member.serve(call, TIMEOUT, digest))
-        await asyncio.wait([task], timeout=TIMEOUT + 0.5)
+        task = asyncio.get_running_loop().create_task(member.serve(call, CALL_TIMEOUT_S, digest))
+        await asyncio.wait([task], timeout=CALL_TIMEOUT_S + 0.5)
         if not task.done():
             task.cancel()
             return None
         return None if task.cancelled() or task.exception() else task.result()
 
     async def submit(self, name: str, spec: JobSpec, caller: str = "") -> None:
-        """Hand a job in, and again while it is not known what became of it.
+        """Submit a job, and retry until it is accepted or ``MAX_ATTEMPTS`` attempts were made.
 
-        An organisation's callers show a key that is the digest of its name.
+        The callers of an organisation present a key whose digest is that of its name.
         """
-        spec = self.cell.hand_in(name, spec)
+        spec = self.cell.register_job(name, spec)
         self.cell.owners[name] = caller
         digest = key_digest(caller.encode()) if caller else None
-        self.open_calls += 1
+        self.open_submissions += 1
         uncertain = False
         try:
-            for _ in range(RETRIES):
+            for _ in range(MAX_ATTEMPTS):
                 call = CallerCall(Operation.SUBMIT, HOST, PREFIX + name, spec)
                 reply = await self.call(call, digest)
                 if reply is not None and reply.outcome is Outcome.DONE:
@@ -310,16 +315,16 @@
             if not uncertain:
                 self.refused.add(name)
         finally:
-            self.open_calls -= 1
+            self.open_submissions -= 1
 
-    async def hand_in(self, member: str, name: str) -> CallerReply:
-        """Hand in a job of a random kind, once and at one member."""
-        spec = self.cell.hand_in(name, self.job())
+    async def submit_once(self, member: str, name: str) -> CallerReply:
+        """Submit a random job once, to the given member."""
+        spec = self.cell.register_job(name, self.random_job())
         call = CallerCall(Operation.SUBMIT, HOST, PREFIX + name, spec)
-        return await self.members[member].serve(call, TIMEOUT)
+        return await self.members[member].serve(call, CALL_TIMEOUT_S)
 
     async def cancel(self, name: str) -> None:
-        # Without an answer the job may be cancelled or not.
+        # Without a reply it is unknown whether the job was cancelled.
         self.cancelled.add(name)
         await self.call(CallerCall(Operation.CANCEL, HOST, PREFIX + name), self._digest(name))
 
@@ -327,24 +332,24 @@
         return await self.call(CallerCall(Operation.STATE, HOST, PREFIX + name), self._digest(name))
 
     def _digest(self, name: str) -> bytes | None:
-        """Return the digest of the key of a job's organisation."""
+        """Return the key digest of the organisation that submitted a job."""
         owner = self.cell.owners.get(name, "")
         return key_digest(owner.encode()) if owner else None
 
     async def traffic(
         self, prefix: str, count: int, every: float, callers: tuple[str, ...] = ("",)
     ) -> None:
-        """Hand in some jobs, one after the other, without waiting for answers."""
+        """Submit jobs at random intervals of a given mean, without waiting for the replies."""
         tasks = []
         for number in range(count):
             name = f"{prefix}{number:04x}"
-            submission = self.submit(name, self.job(), self.rng.choice(callers))
+            submission = self.submit(name, self.random_job(), self.rng.choice(callers))
             tasks.append(asyncio.get_running_loop().create_task(submission))
             await asyncio.sleep(self.rng.expovariate(1.0 / every))
         await asyncio.wait(tasks)
 
-    def job(self) -> JobSpec:
-        """Return a job of a random kind."""
+    def random_job(self) -> JobSpec:
+        """Return a random job."""
         shape = Shape(self.rng.choice((500, 1_000, 4_000, 7_500)), self.rng.choice((500, 8_000)))
         first = StepSpec(count=self.rng.randint(1, 5), shape=shape, expected_ms=1000.0)
         if self.rng.random() < 0.5:
@@ -359,93 +364,93 @@
             return JobSpec("payload", (first, second))
         return JobSpec("payload", (first,))
 
-    # -- What must hold ----------------------------------------------------------------------
+    # -- Final checks ------------------------------------------------------------------------
 
     async def settle(self, seconds: float) -> None:
-        """Undo all faults and wait until every accepted job has ended, or some seconds."""
-        self.calm()
+        """Clear all faults and wait until every accepted job has ended, up to ``seconds``."""
+        self.clear_faults()
         last = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < last:
             await asyncio.sleep(1.0)
-            if not self.open_calls and not await self.unfinished():
+            if not self.open_submissions and not await self.unfinished():
                 return
 
-    def calm(self) -> None:
-        """Undo all faults."""
+    def clear_faults(self) -> None:
+        """Clear all faults and start the members that are down."""
         self.store.down = False
-        self.store.turned_away.clear()
-        self.store.unread.clear()
-        self.store.latency = 0.004
-        self.store.lost = 0.0
-        self.store.refusing = 0.0
-        self.store.append_time = 0.0
-        self.transit.calm()
-        self.cell.late_orders = 0.0
+        self.store.unreachable_members.clear()
+        self.store.jobs_unread_after.clear()
+        self.store.latency_s = 0.004
+        self.store.lost_reply_share = 0.0
+        self.store.refusal_share = 0.0
+        self.store.append_time_s = 0.0
+        self.store_path.clear()
+        self.cell.late_request_share = 0.0
         self.cell.crash_share = 0.0
         for name in self.names:
             self.resume(name)
-        self.wires.cuts.clear()
-        self.wires.silent.clear()
+        self.network.partitions.clear()
+        self.network.unreachable.clear()
         for vm in self.cell.vms.values():
-            vm.cut = False
-            vm.unhealthy = 0.0
+            vm.unreachable = False
+            vm.rejection_share = 0.0
         self.start_all()
 
     async def unfinished(self) -> list[str]:
-        """Return the accepted jobs that have not ended as they should."""
+        """Return the accepted jobs that are not in an allowed final state."""
         found = []
         for name in sorted(self.accepted):
             reply = await self.state(name)
             state = None if reply is None else reply.state
-            if state not in self.allowed_ends(name):
+            if state not in self.allowed_final_states(name):
                 found.append(f"{name}: {reply}")
         return found
 
-    def allowed_ends(self, name: str) -> set[str]:
+    def allowed_final_states(self, name: str) -> set[str]:
         if name in self.cancelled:
             return {"cancelled", "succeeded", "failed"}
         if self.cell.crashes_vms(name):
             return {"succeeded", "failed"}
-        if name in self.cell.poison or self._failures_noted(name):
+        if name in self.cell.always_failing or self._has_acknowledged_failure(name):
             return {"failed"}
-        # A failure whose VM has crashed since may be known, or not.
-        return {"succeeded", "failed"} if self._fails(name) else {"succeeded"}
+        # A failed run may have been lost with its VM, so that both states are allowed.
+        return {"succeeded", "failed"} if self._may_fail(name) else {"succeeded"}
 
-    def _failures_noted(self, name: str) -> bool:
-        noted = (self.cell.noted_failures.get(task, ()) for task in self._tasks(name))
+    def _has_acknowledged_failure(self, name: str) -> bool:
+        noted = (self.cell.acknowledged_failures.get(task, ()) for task in self._tasks(name))
         return any(len(ends) >= self.cell.max_attempts for ends in noted)
 
-    def _fails(self, name: str) -> bool:
-        """Tell whether a job may not be done: its VMs saw a task fail as often as it may."""
-        if name in self.cell.poison:
+    def _may_fail(self, name: str) -> bool:
+        """Return whether a job may fail: a task of it has failed in all its allowed attempts."""
+        if name in self.cell.always_failing:
             return True
-        most = self.cell.max_attempts
-        return any(self.cell.failures[task] >= most for task in self._tasks(name))
-
-    async def faults(self) -> list[str]:
-        """Return what is wrong once all has settled."""
-        wrong = self.watch.violations + self.cell.violations
-        if any(later <= earlier for earlier, later in pairwise(self.store.claims)):
-            wrong.append(f"epochs claimed twice: {self.store.claims}")
-        wrong += await self.unfinished()
+        max_attempts = self.cell.max_attempts
+        return any(self.cell.failures[task] >= max_attempts for task in self._tasks(name))
+
+    async def find_violations(self) -> list[str]:
+        """Return all violations, once the system has settled."""
+        violations = self.checker.violations + self.cell.violations
+        if any(later <= earlier for earlier, later in pairwise(self.store.claimed_epochs)):
+            violations.append(f"epochs claimed twice: {self.store.claimed_epochs}")
+        violations += await self.unfinished()
         for name in sorted(self.refused):
             if any(task.startswith(f"{name}.") for task in self.cell.starts):
-                wrong.append(f"refused, yet started: {name}")
+                violations.append(f"refused, but started: {name}")
         for name in sorted(self.accepted - self.cancelled):
-            if self._fails(name) or self._given_up(name):
+            if self._may_fail(name) or self._may_fail_for_crashes(name):
                 continue
             missing = [task for task in self._tasks(name) if task not in self.cell.done]
             if missing:
-                wrong.append(f"shown as done without: {missing}")
-        return wrong
+                violations.append(f"shown as done without: {missing}")
+        return violations
 
-    def _given_up(self, name: str) -> bool:
-        """Tell whether a job may be shown as failed: a task of it crashes VMs, and two crashed.
+    def _may_fail_for_crashes(self, name: str) -> bool:
+        """Return whether a job may fail because it crashes VMs, and enough of them have crashed.
 
-        What merely ran beside such a task is to be served, however many VMs crashed under it.
+        A job that merely ran beside such a task has to succeed, however many VMs crashed under it.
         """
-        under = (self.cell.crashed_under[task] for task in self._tasks(name))
-        return self.cell.crashes_vms(name) and max(under, default=0) >= CRASHES_GIVE_UP
+        under = (self.cell.crashes_while_running[task] for task in self._tasks(name))
+        return self.cell.crashes_vms(name) and max(under, default=0) >= CRASHES_UNTIL_FAILED
 
     def _tasks(self, name: str) -> list[str]:
         steps = self.cell.jobs[name].steps
--- a/tests/emulator/watched.py
+++ b/tests/emulator/watched.py
@@ -1,4 +1,4 @@
-"""Members and VMs whose promises are checked as they are made, without a change of their own."""
+"""Members and VM ports that check invariants on each call, without changing the behaviour."""
 
 import random
 from collections.abc import Callable
@@ -15,41 +15,45 @@
 from sablemount.platform.lives import worker_id_of
 from tests.emulator.vm_ports import EmulatedVms
 from tests.emulator.vms import Cell
-from tests.emulator.watch import Watch
+from tests.emulator.watch import InvariantChecker
 
-__all__ = ["WatchedMember", "WatchedVms", "watch_leader"]
+__all__ = ["CheckedMember", "CheckedVms", "check_leader"]
 
 
-def watch_leader(leader: Leader, watch: Watch) -> None:
-    """Have a leader's load, its appends and what it takes for durable checked."""
+def check_leader(leader: Leader, checker: InvariantChecker) -> None:
+    """Wrap a leader's load, its appends and its handling of durable batches with checks."""
     committer, scheduler, journal = leader.committer, leader.scheduler, leader.scheduler.journal
-    append, load, durable = committer.append, scheduler.load, journal.batch_stored
+    original_append, original_load, original_durable = (
+        committer.append,
+        scheduler.load,
+        journal.batch_stored,
+    )
     epoch = leader.epoch
-    sent = 0
+    next_sequence = 0
 
     async def checked_append(records: list[Record]) -> None:
-        nonlocal sent
-        sequence = sent
-        sent += bool(records)
-        await append(records)
+        nonlocal next_sequence
+        sequence = next_sequence
+        next_sequence += bool(records)
+        await original_append(records)
         if records:
-            watch.appended(epoch, sequence, records)
+            checker.check_append(epoch, sequence, records)
 
     def checked_load(records: list[Record]) -> None:
-        watch.loaded(epoch, records)
-        load(records)
+        checker.check_load(epoch, records)
+        original_load(records)
 
     def checked_durable(batch: Batch) -> None:
-        watch.durable(epoch, batch.records)
-        durable(batch)
+        checker.check_durable(epoch, batch.records)
+        original_durable(batch)
 
     committer.append = checked_append
     scheduler.load = checked_load
     journal.batch_stored = checked_durable
 
 
-class WatchedMember(Member):
-    """A member whose leaderships and answers are checked."""
+class CheckedMember(Member):
+    """A member whose terms as leader and whose replies to callers are checked."""
 
     def __init__(
         self,
@@ -57,20 +61,20 @@
         ports: LeaderPorts,
         network: Network,
         rng: random.Random,
-        watch: Watch,
+        checker: InvariantChecker,
     ) -> None:
-        self._watched_by = watch
+        self._checker = checker
         super().__init__(settings, ports, network, rng)
 
     @property
     def leader(self) -> Leader | None:
-        return self._watched_leader
+        return self._checked_leader
 
     @leader.setter
     def leader(self, leader: Leader | None) -> None:
-        self._watched_leader = leader
+        self._checked_leader = leader
         if leader is not None:
-            watch_leader(leader, self._watched_by)
+            check_leader(leader, self._checker)
 
     async def serve(
         self, call: CallerCall, timeout: float, digest: bytes | None = None
@@ -78,31 +82,34 @@
         reply = await super().serve(call, timeout, digest)
         name = call.path.rpartition("/")[2]
         if reply.outcome is Outcome.DONE and call.operation is Operation.SUBMIT:
-            self._watched_by.accepted(self._link.epoch, name)
+            self._checker.check_acceptance(self._link.epoch, name)
         elif reply.outcome is Outcome.DONE and name:
-            self._watched_by.shown(self._link.epoch, name, reply.state)
+            self._checker.check_reported_state(self._link.epoch, name, reply.state)
         return reply
 
 
-class WatchedVms(EmulatedVms):
-    """The VMs, whose orders and acknowledgements are checked as they are sent."""
+class CheckedVms(EmulatedVms):
+    """The VMs as one member sees them; start requests and acknowledgements are checked."""
 
     def __init__(
-        self, cell: Cell, watch: Watch, parted: Callable[[str], bool] = lambda vm: False
+        self,
+        cell: Cell,
+        checker: InvariantChecker,
+        is_partitioned: Callable[[str], bool] = lambda vm: False,
     ) -> None:
-        super().__init__(cell, parted)
+        super().__init__(cell, is_partitioned)
         self._cell = cell
-        self._watch = watch
+        self._checker = checker
 
     async def hold(self, call: HoldCall, timeout: float) -> HoldResult:
-        for end in self._cell.newest(worker_id_of(call.vm)).ends:
+        for end in self._cell.newest_incarnation(worker_id_of(call.vm)).completions:
             if end.number <= call.acked_completion:
-                self._watch.acknowledged(call.fence, call.vm, end)
+                self._checker.check_acknowledgement(call.fence, call.vm, end)
         return await super().hold(call, timeout)
 
     async def start(
         self, action: StartRun, address: str, fence: int, until_ms: int, timeout: float
     ) -> StartResult:
-        up = self._cell.newest(worker_id_of(action.vm)).up
-        self._watch.ordered(fence, action.vm, action.task, up)
+        up = self._cell.newest_incarnation(worker_id_of(action.vm)).up
+        self._checker.check_start_request(fence, action.vm, action.task, up)
         return await super().start(action, address, fence, until_ms, timeout)
--- a/tests/fakes/cell.py
+++ b/tests/fakes/cell.py
@@ -19,7 +19,7 @@
 from sablemount.core.scheduler import Scheduler
 from sablemount.core.verdict import Failure, Reason, Served, Verdict
 from tests.fakes.log import AnswerLost, FakeLog, LogMode, LogUnavailable
-from tests.fakes.worker import FakeWorker, Truth
+from tests.fakes.worker import FakeWorker, GroundTruth
 
 DELAY = 0.002
 SERVICE_TIME = 0.02
@@ -92,7 +92,7 @@
         settings: CoreSettings | None = None,
         retention: int = 1_000_000,
         halls: int = 3,
-        truth: Truth | None = None,
+        truth: GroundTruth | None = None,
         service_time: float = SERVICE_TIME,
     ) -> None:
         self.rng = random.Random(seed)
@@ -100,7 +100,7 @@
         self.settings = settings or CoreSettings(shards=6)
         self.log = FakeLog(retention)
         self.log_delay = DELAY
-        self.truth = truth or Truth()
+        self.truth = truth or GroundTruth()
         self.service_time = service_time
         self.workers = {
             facts.vm: FakeWorker(facts, self.truth)
@@ -197,7 +197,7 @@
     def heal(self) -> None:
         self.cut.clear()
         self.log.mode = LogMode.UP
-        self.log.land_late_writes(self.now)
+        self.log.apply_delayed_writes(self.now)
         self.log_delay = DELAY
         self.listed = None
         self.drop = lambda *_: False
@@ -405,7 +405,7 @@
         if isinstance(result, Ok) and result.ok_value.body != action.request.encode():
             self.truth.violations.append(f"answer: {action.request} got another one's answer")
         not_run = isinstance(result, Err) and result.err_value.verdict is Verdict.NOT_RUN
-        if not_run and self.truth.executed[action.request]:
+        if not_run and self.truth.executions[action.request]:
             self.truth.violations.append(f"not run: {action.request} ran")
 
     def _do_AnswerCommand(self, member: Member, action: actions.AnswerCommand) -> None:
@@ -460,8 +460,8 @@
         return {
             shard: member.name
             for member in self.live()
-            for shard, held in member.core.state.held.items()
-            if held.opened
+            for shard, held in member.core.state.held_shards.items()
+            if held.recovery_complete
         }
 
     def settled(self) -> bool:
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,7 +1,7 @@
-"""Stand-in for a worker: runs under leases, requests in slots, and the truth about both.
+"""Fake of a worker, with runs under leases and requests in slots, and a check of invariants.
 
-The worker grants whatever it is told to: it has no guards. ``Truth`` sees every grant of every
-worker and keeps the violations of the invariants.
+The worker accepts every run and request without a check of its own. ``GroundTruth`` is notified of
+everything that any worker starts, and records violations of the invariants.
 """
 
 from collections import Counter, defaultdict
@@ -14,62 +14,71 @@
 from sablemount.core.facts import VmFacts
 from sablemount.core.tables import task_of
 
-LIVE = (RunState.RUNNING, RunState.THROTTLED)
-LEAVING_GRACE = 3.0
+LIVE_STATES = (RunState.RUNNING, RunState.THROTTLED)
+LEAVING_GRACE_S = 3.0
+"""Time within which schedulers must learn that a VM is leaving and stop sending it work."""
 
 
-class Truth:
-    """What really happened, across all workers."""
+class GroundTruth:
+    """What all workers have run, regardless of what schedulers know of it.
+
+    ``running_on`` has the VMs on which a task runs, and ``at_most_once`` the tasks that may be
+    started only once. Requests whose names are equal up to a ``!`` share an idempotency key.
+    """
 
     def __init__(self) -> None:
         self.violations: list[str] = []
-        self.places: dict[str, set[str]] = defaultdict(set)
+        self.running_on: dict[str, set[str]] = defaultdict(set)
         self.starts: Counter[str] = Counter()
-        self.single: set[str] = set()
-        self.executed: Counter[str] = Counter()
+        self.at_most_once: set[str] = set()
+        self.executions: Counter[str] = Counter()
         self.workers: dict[str, FakeWorker] = {}
 
-    def began(self, task: str, vm: str, now: float) -> None:
-        for other in list(self.places[task]):
+    def run_started(self, task: str, vm: str, now: float) -> None:
+        for other in list(self.running_on[task]):
             self.workers[other].advance(now)
         self.starts[task] += 1
-        self.places[task].add(vm)
-        if len(self.places[task]) > 1:
-            self.violations.append(f"one place: {task} runs on {sorted(self.places[task])}")
-        if task in self.single and self.starts[task] > 1:
+        self.running_on[task].add(vm)
+        if len(self.running_on[task]) > 1:
+            self.violations.append(f"one place: {task} runs on {sorted(self.running_on[task])}")
+        if task in self.at_most_once and self.starts[task] > 1:
             self.violations.append(f"at most once: {task} started {self.starts[task]} times")
 
-    def ended(self, task: str, vm: str) -> None:
-        self.places[task].discard(vm)
+    def run_ended(self, task: str, vm: str) -> None:
+        self.running_on[task].discard(vm)
 
-    def served(self, request: str) -> None:
-        self.executed[request] += 1
-        key, shared, _ = request.partition("!")
-        if shared:
-            self.executed[key] += 1
-            if self.executed[key] > 1:
+    def request_executed(self, request: str) -> None:
+        self.executions[request] += 1
+        key, separator, _ = request.partition("!")
+        if separator:
+            self.executions[key] += 1
+            if self.executions[key] > 1:
                 self.violations.append(f"at most once: requests with key {key} ran twice")
 
 
 class Run:
-    def __init__(self, run: str, shape: Shape, until: float, lease_until: float) -> None:
+    """A run on a fake worker; it ends at ``ends_at``, or before when its lease expires."""
+
+    def __init__(self, run: str, shape: Shape, ends_at: float, lease_until: float) -> None:
         self.run = run
-        self.full = shape
+        self.full_shape = shape
         self.shape = shape
-        self.until = until
+        self.ends_at = ends_at
         self.lease_until = lease_until
         self.state = RunState.RUNNING
 
 
 class FakeWorker:
-    def __init__(self, facts: VmFacts, truth: Truth, boot: str = "boot-1") -> None:
+    """A worker in memory; ``left_at`` is the time from which its VM is leaving."""
+
+    def __init__(self, facts: VmFacts, truth: GroundTruth, boot: str = "boot-1") -> None:
         self.facts = facts
         self.truth = truth
         truth.workers[facts.vm] = self
         self.boot = boot
         self.up = True
         self.leaving = False
-        self.left_since = float("inf")
+        self.left_at = float("inf")
         self.runs: dict[str, Run] = {}
         self.requests: dict[str, None] = {}
         self.polls = 0
@@ -79,11 +88,11 @@
     def start(self, run: str, shape: Shape, lease: float, seconds: float, now: float) -> bool:
         self.advance(now)
         if run in self.runs:
-            return self.runs[run].state in LIVE
+            return self.runs[run].state in LIVE_STATES
         self._check_leaving(f"start of {run}", now)
-        until = now + seconds if seconds else float("inf")
-        self.runs[run] = Run(run, shape, until, now + lease)
-        self.truth.began(task_of(run), self.facts.vm, now)
+        ends_at = now + seconds if seconds else float("inf")
+        self.runs[run] = Run(run, shape, ends_at, now + lease)
+        self.truth.run_started(task_of(run), self.facts.vm, now)
         self._check_capacity()
         return True
 
@@ -98,24 +107,24 @@
         self.polls += 1
         self.advance(now)
         for name in renew:
-            if name in self.runs and self.runs[name].state in LIVE:
+            if name in self.runs and self.runs[name].state in LIVE_STATES:
                 self.runs[name].lease_until = now + lease
         for command in commands:
             run = self.runs.get(command.run)
-            if run is not None and run.state in LIVE:
+            if run is not None and run.state in LIVE_STATES:
                 self._command(run, command.kind)
         for name in acknowledge:
-            if name in self.runs and self.runs[name].state not in LIVE:
+            if name in self.runs and self.runs[name].state not in LIVE_STATES:
                 del self.runs[name]
         return tuple(RunReport(run.run, run.state, run.shape) for run in self.runs.values())
 
     def _command(self, run: Run, kind: CommandKind) -> None:
         if kind is CommandKind.THROTTLE:
             run.state = RunState.THROTTLED
-            run.shape = run.full.throttled()
+            run.shape = run.full_shape.throttled()
         elif kind is CommandKind.RESTORE:
             run.state = RunState.RUNNING
-            run.shape = run.full
+            run.shape = run.full_shape
             self._check_capacity()
         else:
             stopped = kind is CommandKind.STOP
@@ -124,19 +133,20 @@
     def _end(self, run: Run, state: RunState) -> None:
         run.state = state
         run.shape = Shape()
-        self.truth.ended(task_of(run.run), self.facts.vm)
+        self.truth.run_ended(task_of(run.run), self.facts.vm)
 
     def advance(self, now: float) -> None:
+        """End the runs that are done or whose leases have expired."""
         for run in self.runs.values():
-            if run.state in LIVE and min(run.lease_until, run.until) <= now:
-                done = run.until <= run.lease_until
+            if run.state in LIVE_STATES and min(run.lease_until, run.ends_at) <= now:
+                done = run.ends_at <= run.lease_until
                 self._end(run, RunState.DONE if done else RunState.LAPSED)
 
     def fail(self) -> None:
-        """The VM dies: all that it runs is over."""
+        """Crash the VM, which ends all its runs and requests."""
         self.up = False
         for run in self.runs.values():
-            if run.state in LIVE:
+            if run.state in LIVE_STATES:
                 self._end(run, RunState.FAILED)
         self.runs.clear()
         self.requests.clear()
@@ -150,21 +160,21 @@
     def begin(self, request: str, now: float) -> None:
         self._check_leaving(f"request {request}", now)
         self.requests[request] = None
-        self.truth.served(request)
+        self.truth.request_executed(request)
         self._check_capacity()
 
     def end(self, request: str) -> None:
         self.requests.pop(request, None)
 
-    # -- Truth -------------------------------------------------------------------------------
+    # -- Checks ------------------------------------------------------------------------------
 
     def leave(self, now: float) -> None:
         self.leaving = True
-        self.left_since = now
+        self.left_at = now
 
-    def _check_leaving(self, what: str, now: float) -> None:
-        if now > self.left_since + LEAVING_GRACE:
-            self.truth.violations.append(f"leaving: {what} on {self.facts.vm}")
+    def _check_leaving(self, work: str, now: float) -> None:
+        if now > self.left_at + LEAVING_GRACE_S:
+            self.truth.violations.append(f"leaving: {work} on {self.facts.vm}")
 
     def used(self) -> Shape:
         total = Shape(slots=len(self.requests))
@@ -174,6 +184,6 @@
 
     def _check_capacity(self) -> None:
         used = self.used()
-        if not used.fits(self.facts.capacity):
-            over = msgspec.json.encode(used).decode()
-            self.truth.violations.append(f"capacity: {self.facts.vm} holds {over}")
+        if not used.fits_within(self.facts.capacity):
+            in_use = msgspec.json.encode(used).decode()
+            self.truth.violations.append(f"capacity: {self.facts.vm} holds {in_use}")
--- a/tests/jobs/test_batches.py
+++ b/tests/jobs/test_batches.py
@@ -7,7 +7,7 @@
 from sablemount.jobs.model import JobSpec, StepSpec
 from sablemount.jobs.sizes import call_size
 from tests.emulator.loop import run
-from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
+from tests.emulator.system import CALL_TIMEOUT_S, HOST, PREFIX, System
 from tests.jobs.rig import CORE, Rig, queue, spec
 
 CALL_BYTES = 2_097_152
@@ -98,7 +98,7 @@
 
         async def hand_in(number: int) -> CallerReply:
             call = CallerCall(Operation.SUBMIT, HOST, f"{PREFIX}job{number}", WIDE)
-            return await system.members["m0"].serve(call, TIMEOUT)
+            return await system.members["m0"].serve(call, CALL_TIMEOUT_S)
 
         replies = await asyncio.gather(*map(hand_in, range(JOBS)))
         assert [reply.outcome for reply in replies] == [Outcome.DONE] * JOBS
--- a/tests/jobs/test_commit.py
+++ b/tests/jobs/test_commit.py
@@ -50,8 +50,8 @@
     async def scenario() -> None:
         state = StoreState(random.Random(1))
         committer = await _open_committer(state)
-        state.lost = 0.4
-        state.late = late
+        state.lost_reply_share = 0.4
+        state.executes_lost_late = late
         for number in range(40):
             await committer.append([_record(number)])
         await asyncio.sleep(10.0)
@@ -66,7 +66,7 @@
     async def scenario() -> None:
         state = StoreState(random.Random(1))
         committer = await _open_committer(state)
-        state.latency = 0.1
+        state.latency_s = 0.1
         confirming = asyncio.create_task(committer.confirm())
         await asyncio.sleep(0.06)
         appending = asyncio.create_task(committer.append([_record(1)]))
@@ -87,8 +87,8 @@
     async def scenario() -> None:
         state = StoreState(random.Random(1))
         committer = await _open_committer(state)
-        state.latency = 0.1
-        state.lost = lost
+        state.latency_s = 0.1
+        state.lost_reply_share = lost
         for start in range(0, 40, 4):
             batches = (committer.append([_record(start + offset)]) for offset in range(4))
             await asyncio.gather(*batches)
@@ -118,10 +118,10 @@
     async def scenario() -> None:
         state = StoreState(random.Random(1))
         committer = await _open_committer(state)
-        state.latency = 0.2
+        state.latency_s = 0.2
         appends = [asyncio.create_task(committer.append([_record(0)]))]
         await asyncio.sleep(0.04)
-        state.latency = 0.004
+        state.latency_s = 0.004
         loop = asyncio.get_running_loop()
         durations = []
 
@@ -148,10 +148,10 @@
         state = StoreState(random.Random(1))
         committer = _committer(state, 4)
         await committer.open()
-        state.lost = 1.0
+        state.lost_reply_share = 1.0
         first = asyncio.create_task(committer.append([_record(0)]))
         await asyncio.sleep(0.1)
-        state.lost = 0.0
+        state.lost_reply_share = 0.0
         await first
         # Six later appends are made directly, so that the store no longer remembers the answer to
         # number 1.
--- a/tests/jobs/test_configuration_parts.py
+++ b/tests/jobs/test_configuration_parts.py
@@ -36,7 +36,7 @@
 from sablemount.jobs.model import Configuration, Organisation, Queue, QueueTerms
 from sablemount.jobs.settings import JobSettings
 from tests.emulator.loop import run
-from tests.emulator.network import Wires
+from tests.emulator.network import EmulatedNetwork
 from tests.emulator.system import Codec
 
 
@@ -256,7 +256,9 @@
     async def refuse(link: object, message: Message) -> Reply:
         raise AssertionError
 
-    link = LeaderLink(MemberSettings("m", "m", JobSettings()), Wires().port("m"), refuse)
+    link = LeaderLink(
+        MemberSettings("m", "m", JobSettings()), EmulatedNetwork().member_network("m"), refuse
+    )
     link.follow(LeaderRecord(1, "leader", "leader", "life"))
     link._link, link.leader_active = leader, True  # type: ignore[assignment]
 
--- a/tests/jobs/test_confirmation_age.py
+++ b/tests/jobs/test_confirmation_age.py
@@ -16,7 +16,7 @@
 from sablemount.jobs.model import Configuration
 from sablemount.jobs.settings import JobSettings
 from tests.emulator.loop import run
-from tests.emulator.network import Wires
+from tests.emulator.network import EmulatedNetwork
 from tests.emulator.system import Codec
 
 ANSWER_DELAY_S = PING_TIMEOUT_S - 0.05
@@ -44,7 +44,7 @@
             raise AssertionError
 
         settings = MemberSettings("m", "m", JobSettings())
-        link = LeaderLink(settings, Wires().port("m"), refuse)
+        link = LeaderLink(settings, EmulatedNetwork().member_network("m"), refuse)
         link.follow(LeaderRecord(1, "leader", "leader", "life"))
         feed = ConfigurationFeed(
             Codec(), link, Metrics(), lambda work: asyncio.get_running_loop().create_task(work)
--- a/tests/jobs/test_crashing_tasks.py
+++ b/tests/jobs/test_crashing_tasks.py
@@ -33,20 +33,20 @@
 async def _scenario(after: float, gang: bool, killed: bool, seed: int) -> list[str]:
     """Submit a job with a crashing task among many others; return what is wrong at the end."""
     system = System(seed, vms=8)
-    system.cell.fail_share = 0.0
-    system.cell.seconds = 3.0
+    system.cell.failure_share = 0.0
+    system.cell.mean_task_seconds = 3.0
     system.start_all()
     await asyncio.sleep(1.0)
     rng = random.Random(seed)
     step = StepSpec(3, Shape(1_000, 1_000), expected_ms=3000.0, gang=gang)
-    system.cell.crashing["bad.0.0.1"] = after
+    system.cell.crash_delays_s["bad.0.0.1"] = after
     concurrent = [asyncio.create_task(system.traffic("a", 150, 0.2))]
     concurrent.append(asyncio.create_task(system.submit("bad", JobSpec("payload", (step,)))))
     if killed:
         concurrent.append(asyncio.create_task(_kill_leaders(system, rng)))
     await asyncio.wait(concurrent)
     await system.settle(60.0)
-    wrong = await system.faults()
+    wrong = await system.find_violations()
     reply = await system.state("bad")
     state = "" if reply is None else reply.state
     return wrong if state == "failed" else [*wrong, f"shown as {state}"]
@@ -68,11 +68,11 @@
 async def _unrecorded_crashes(seed: int) -> list[str]:
     """Lose all writes while a task crashes its VM, and then the leader, several times."""
     system = System(seed, vms=8)
-    system.cell.fail_share = 0.0
+    system.cell.failure_share = 0.0
     system.start_all()
     await asyncio.sleep(1.0)
-    system.store.latency = SLOW_LATENCY_S
-    crash = system.cell.on_crash
+    system.store.latency_s = SLOW_LATENCY_S
+    crash = system.cell.on_task_crash
     ended: list[asyncio.Task[None]] = []
 
     async def end_leader() -> None:
@@ -89,14 +89,14 @@
             system.store.down = True
             ended.append(asyncio.create_task(end_leader()))
 
-    system.cell.on_crash = crash_and_lose_writes
-    system.cell.crashing["bad.0.0.0"] = 0.01
+    system.cell.on_task_crash = crash_and_lose_writes
+    system.cell.crash_delays_s["bad.0.0.0"] = 0.01
     step = StepSpec(1, Shape(1_000, 1_000), expected_ms=3000.0)
     await system.submit("bad", JobSpec("payload", (step,)))
     # Settling heals the store.
     await asyncio.sleep(UNRECORDED_LEADERS * 8.0)
     await system.settle(60.0)
-    return await system.faults()
+    return await system.find_violations()
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/jobs/test_cut_off_leader.py
+++ b/tests/jobs/test_cut_off_leader.py
@@ -15,7 +15,7 @@
 from sablemount.control.messages import CallerCall, Operation, Outcome
 from sablemount.jobs.model import JobSpec, Shape, StepSpec
 from tests.emulator.loop import run
-from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
+from tests.emulator.system import CALL_TIMEOUT_S, HOST, PREFIX, System
 from tests.jobs.running import start_system
 
 TASK_SECONDS = 40.0
@@ -28,7 +28,7 @@
     Return the system and the leader's name.
     """
     system = System(5, members=members)
-    system.cell.seconds = TASK_SECONDS
+    system.cell.mean_task_seconds = TASK_SECONDS
     leader = await start_system(system, 1.0)
     step = StepSpec(count=6, shape=Shape(4_000, 1_000), expected_ms=TASK_SECONDS * 1000.0)
     for number in range(3):
@@ -37,8 +37,8 @@
     others = [name for name in system.names if name != leader]
     inside = {leader, *others[:beside], *sorted(system.cell.vms)[:CUT_VMS]}
     outside = {*system.names, *system.cell.vms} - inside
-    system.wires.cuts |= {frozenset((one, other)) for one in inside for other in outside}
-    system.store.turned_away |= inside & set(system.names)
+    system.network.partitions |= {frozenset((one, other)) for one in inside for other in outside}
+    system.store.unreachable_members |= inside & set(system.names)
     return system, leader
 
 
@@ -83,10 +83,10 @@
         system, previous = await _start_cut_off(5, 2)
         await asyncio.sleep(4.0)
         leading = [n for n, m in system.members.items() if m.leader is not None and n != previous]
-        assert (await system.hand_in(leading[0], "later")).outcome is Outcome.DONE
+        assert (await system.submit_once(leading[0], "later")).outcome is Outcome.DONE
         for operation in (Operation.STATE, Operation.CANCEL):
             call = CallerCall(operation, HOST, PREFIX + "later")
-            reply = await system.members[previous].serve(call, TIMEOUT)
+            reply = await system.members[previous].serve(call, CALL_TIMEOUT_S)
             assert reply.outcome is Outcome.NOT_TAKEN
 
     run(scenario())
--- a/tests/jobs/test_discovery.py
+++ b/tests/jobs/test_discovery.py
@@ -14,11 +14,11 @@
         previous = await start_system(system)
         unserved = next(name for name in system.names if name != previous)
         # The leader is replaced, as it is without the store; another member cannot read by whom.
-        system.store.turned_away |= {previous, unserved}
+        system.store.unreachable_members |= {previous, unserved}
         await asyncio.sleep(3.5)
         assert system.leader() not in (None, previous, unserved)
         for number, name in enumerate((previous, unserved)):
-            reply = await system.hand_in(name, f"a{number}")
+            reply = await system.submit_once(name, f"a{number}")
             assert reply.outcome is Outcome.DONE
 
     run(scenario())
--- a/tests/jobs/test_doubt.py
+++ b/tests/jobs/test_doubt.py
@@ -21,7 +21,7 @@
 
     def start(self, name: str) -> None:
         super().start(name)
-        listener = self.wires.listening[name]
+        listener = self.network.listeners[name]
         handler = listener.handler
 
         async def count_views(link, message):  # type: ignore[no-untyped-def]
@@ -45,7 +45,7 @@
     async def scenario() -> None:
         system = await _silence_leader(seed)
         assert system.leader() is not None
-        assert system.store.claims == [1, 2]
+        assert system.store.claimed_epochs == [1, 2]
 
     run(scenario())
 
--- a/tests/jobs/test_election.py
+++ b/tests/jobs/test_election.py
@@ -26,7 +26,7 @@
 from sablemount.jobs.records import Record
 from sablemount.jobs.settings import JobSettings
 from tests.emulator.loop import run
-from tests.emulator.network import Wires
+from tests.emulator.network import EmulatedNetwork
 from tests.emulator.store import EmulatedStore, StoreState
 from tests.jobs.stores import InterceptingStore
 
@@ -90,8 +90,8 @@
         self.store = kind(self.state, name)
         self.won: list[int] = []
         settings = MemberSettings(name, name, JobSettings())
-        self.wires = Wires()
-        self.link = LeaderLink(settings, self.wires.port(name), _decline_takeover)
+        self.wires = EmulatedNetwork()
+        self.link = LeaderLink(settings, self.wires.member_network(name), _decline_takeover)
         self.election = Election(
             settings,
             self.store,
@@ -120,7 +120,7 @@
         self.election.on_listed([], 0)
         self.election.on_records([record], 1)
         self.link.addresses = {"third": "third"}
-        self.wires.port("third").listen("third", _view_without_leader, lambda link: None)
+        self.wires.member_network("third").listen("third", _view_without_leader, lambda link: None)
 
     async def claim_within(self, seconds: float) -> None:
         """Check whether a claim is due until this member has won one or the time is over."""
--- a/tests/jobs/test_emulated.py
+++ b/tests/jobs/test_emulated.py
@@ -7,27 +7,27 @@
 from sablemount.control.messages import CallerCall, Operation, Outcome
 from tests.emulator import faults as kinds
 from tests.emulator.loop import run
-from tests.emulator.mixes import play
+from tests.emulator.mixes import run_mix
 from tests.emulator.system import HOST, PREFIX, System
 from tests.jobs.running import fault_mix
 
 
 def test_calm() -> None:
-    assert run(play(1, [])) == []
+    assert run(run_mix(1, [])) == []
 
 
 def test_calm_with_advice() -> None:
-    assert run(play(2, [], advice=True)) == []
+    assert run(run_mix(2, [], advice=True)) == []
 
 
 @pytest.mark.parametrize("fault", kinds.FAULTS, ids=lambda fault: fault.__name__)
 def test_each_fault_twice(fault: kinds.Fault) -> None:
-    assert run(play(3, [fault, fault])) == []
+    assert run(run_mix(3, [fault, fault])) == []
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_mixes(seed: int) -> None:
-    assert run(play(100 + seed, fault_mix(seed), advice=seed % 2 == 0)) == []
+    assert run(run_mix(100 + seed, fault_mix(seed), advice=seed % 2 == 0)) == []
 
 
 def test_a_member_that_has_just_started_waits_a_moment_for_the_leader() -> None:
@@ -38,7 +38,7 @@
         for name in system.names:
             system.kill(name, 0.4)
         await asyncio.sleep(0.41)
-        spec = system.job()
+        spec = system.random_job()
         system.cell.jobs["a1"] = spec
         reply = await system.call(CallerCall(Operation.SUBMIT, HOST, PREFIX + "a1", spec))
         assert reply is not None
--- a/tests/jobs/test_emulated_cell.py
+++ b/tests/jobs/test_emulated_cell.py
@@ -19,7 +19,7 @@
         system = System(5)
         leader = await start_system(system)
         system.cell.jobs.clear()
-        await system.hand_in(leader, "a1")
+        await system.submit_once(leader, "a1")
         system.cell.jobs.clear()
         await asyncio.sleep(3.0)
 
@@ -33,10 +33,10 @@
     async def scenario() -> None:
         system = System(seed)
         leader = await start_system(system)
-        await system.hand_in(leader, "a1")
+        await system.submit_once(leader, "a1")
         first = system.cell.jobs["a1"]
         for _ in range(5):
-            await system.hand_in(leader, "a1")
+            await system.submit_once(leader, "a1")
         assert system.cell.jobs["a1"] == first
         await asyncio.sleep(3.0)
 
--- a/tests/jobs/test_follow.py
+++ b/tests/jobs/test_follow.py
@@ -83,7 +83,7 @@
         await asyncio.sleep(0.01)
         # While the follower pauses, a record is written and dropped.
         reader.write("second", b"2")
-        reader.state.forget_history()
+        reader.state.trim_history()
         await asyncio.sleep(LIST_INTERVAL_S + 0.5)
         assert reader.known == {"first": b"1", "second": b"2"}
 
--- a/tests/jobs/test_hand_over.py
+++ b/tests/jobs/test_hand_over.py
@@ -23,7 +23,7 @@
     calls = []
     for number in range(int(seconds / SUBMIT_INTERVAL_S)):
         entry = entry_members[number % len(entry_members)]
-        calls.append(asyncio.create_task(system.hand_in(entry, f"b{number:04x}")))
+        calls.append(asyncio.create_task(system.submit_once(entry, f"b{number:04x}")))
         await asyncio.sleep(SUBMIT_INTERVAL_S)
     return list(await asyncio.gather(*calls))
 
@@ -65,11 +65,11 @@
         system, leader = await _start_with_leader(13)
         entry = next(name for name in system.names if name != leader)
         # The store's answers do not reach the leader for the rest of its life.
-        system.store.lost = 1.0
-        submit_task = asyncio.create_task(system.hand_in(entry, "c1"))
+        system.store.lost_reply_share = 1.0
+        submit_task = asyncio.create_task(system.submit_once(entry, "c1"))
         await asyncio.sleep(0.02)
         system.kill(leader, None)
-        system.store.lost = 0.0
+        system.store.lost_reply_share = 0.0
         assert (await submit_task).outcome is Outcome.DONE
 
     run(scenario())
@@ -78,7 +78,7 @@
 def test_a_leader_that_is_being_stopped_serves_until_its_successor_has_claimed() -> None:
     async def scenario() -> None:
         system, leader = await _start_with_leader(14)
-        system.store.latency = 0.1
+        system.store.latency_s = 0.1
         submit_task = asyncio.create_task(_submit_continuously(system, system.names, 2.0))
         await asyncio.sleep(0.3)
         await system.members[leader].stop()
@@ -94,7 +94,7 @@
         leader = await start_system(system)
         for name in system.names:
             if name != leader:
-                system.wires.cuts.add(frozenset((leader, name)))
+                system.network.partitions.add(frozenset((leader, name)))
         # Nobody can claim, so that nothing else ends the leadership.
         system.store.down = True
         began = asyncio.get_running_loop().time()
--- a/tests/jobs/test_keys.py
+++ b/tests/jobs/test_keys.py
@@ -95,12 +95,12 @@
 def test_a_job_is_hidden_from_other_organisations() -> None:
     async def scenario() -> None:
         system = await _started_system()
-        spec = system.job()
+        spec = system.random_job()
         await system.submit("job", spec, "rueda")
         assert system.accepted == {"job"}
         state_reply = await _ask(system, "m1", b"yard", _call())
         cancel_reply = await _ask(system, "m2", b"yard", _call(Operation.CANCEL))
-        resubmission = CallerCall(Operation.SUBMIT, HOST, PREFIX + "job", system.job())
+        resubmission = CallerCall(Operation.SUBMIT, HOST, PREFIX + "job", system.random_job())
         submit_reply = await _ask(system, "m3", b"yard", resubmission)
         unknown = await _ask(system, "m1", b"yard", _call(name="none"))
         assert state_reply == cancel_reply == unknown
@@ -109,7 +109,7 @@
         own = await _ask(system, "m1", b"second", _call())
         assert own.outcome is Outcome.DONE
         await system.settle(30.0)
-        assert await system.faults() == []
+        assert await system.find_violations() == []
 
     run(scenario())
 
@@ -117,7 +117,7 @@
 def test_an_ended_job_stays_hidden_also_under_a_later_leader() -> None:
     async def scenario() -> None:
         system = await _started_system()
-        await system.submit("job", system.job(), "rueda")
+        await system.submit("job", system.random_job(), "rueda")
         await system.settle(30.0)
         leader = system.leader()
         assert leader is not None
@@ -134,7 +134,7 @@
         system = System(31, vms=12)
         system.start_all()
         await asyncio.sleep(2.0)
-        await system.submit("job", system.job())
+        await system.submit("job", system.random_job())
         system.configure(2, organisations=(RUEDA, YARD))
         await asyncio.sleep(1.0)
         assert (await _ask(system, "m1", b"yard", _call())).outcome is Outcome.DONE
@@ -193,7 +193,7 @@
             "leader": [leader],
             "all but one": [leader, *others[1:]],
         }
-        system.store.turned_away |= set(refused[who])
+        system.store.unreachable_members |= set(refused[who])
         await asyncio.sleep(0.1)
         system.configure(5, organisations=(YARD,))
         assert await _time_to_apply(system, b"rueda", Outcome.NO_KEY) < MAX_APPLY_TIME_S
@@ -221,7 +221,7 @@
         leader = system.leader()
         assert leader is not None
         slow = [name for name in system.members if name != leader][:6]
-        system.store.turned_away |= set(slow)
+        system.store.unreachable_members |= set(slow)
         system.configure(5, organisations=(YARD,))
         await asyncio.sleep(0.7)
         updated = {name for name, member in system.members.items() if member.feed.version == 5}
@@ -241,8 +241,8 @@
         system = await _started_system()
         leader = system.leader()
         isolated = next(name for name in system.members if name != leader)
-        system.store.turned_away.add(isolated)
-        system.wires.cuts |= {
+        system.store.unreachable_members.add(isolated)
+        system.network.partitions |= {
             frozenset((isolated, name)) for name in system.names if name != isolated
         }
         third = Organisation("third", (key_digest(b"third"),))
@@ -276,7 +276,7 @@
     async def scenario() -> None:
         system = await _started_system()
         behind = next(name for name in system.members if name != system.leader())
-        system.store.blind.add(behind)
+        system.store.without_configuration.add(behind)
         system.configure(5, organisations=(YARD,))
         await asyncio.sleep(0.1)
         assert system.members[behind].feed.version == 2
@@ -291,7 +291,7 @@
         system = await _started_system()
         leader = system.leader()
         assert leader is not None
-        system.store.blind.add(leader)
+        system.store.without_configuration.add(leader)
         third = Organisation("third", (key_digest(b"third"),))
         system.configure(5, organisations=(RUEDA, YARD, third))
         assert await _time_to_apply(system, b"third", Outcome.NO_JOB) < MAX_APPLY_TIME_S / 2
@@ -315,7 +315,7 @@
         system.configure(2, organisations=(RUEDA, YARD))
         system.start_all()
         await asyncio.sleep(11.0)
-        await system.submit("job", system.job(), "rueda")
+        await system.submit("job", system.random_job(), "rueda")
         await asyncio.sleep(1.0)
         served = Outcome.DONE
         for name in system.members:
@@ -341,7 +341,7 @@
         system.start_all()
         await asyncio.sleep(2.0)
         leader = system.leader()
-        system.store.turned_away |= {name for name in system.names if name != leader}
+        system.store.unreachable_members |= {name for name in system.names if name != leader}
         await asyncio.sleep(2 * REVOKE_AFTER_S)
         for name in system.members:
             assert (await _ask(system, name, b"rueda", _call())).outcome is Outcome.NO_JOB
--- a/tests/jobs/test_large_configuration.py
+++ b/tests/jobs/test_large_configuration.py
@@ -18,7 +18,7 @@
 from sablemount.jobs.model import Configuration, Queue, QueueTerms
 from sablemount.jobs.records import Record
 from tests.emulator.loop import run
-from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
+from tests.emulator.system import CALL_TIMEOUT_S, HOST, PREFIX, System
 
 SMALL_LINK_BYTES_PER_S = 600_000.0
 """Approximate rate of a small link of 5 Mbit/s."""
@@ -53,14 +53,16 @@
     system = System(seed, members=small + large, vms=3)
     for number, name in enumerate(system.names):
         is_small = number < small
-        system.limits[name] = SMALL_MACHINE if is_small else LARGE_MACHINE
-        system.wires.limit(name, SMALL_LINK_BYTES_PER_S if is_small else LARGE_LINK_BYTES_PER_S)
+        system.machine_limits[name] = SMALL_MACHINE if is_small else LARGE_MACHINE
+        system.network.limit_bandwidth(
+            name, SMALL_LINK_BYTES_PER_S if is_small else LARGE_LINK_BYTES_PER_S
+        )
     system.start_all()
     await asyncio.sleep(4.0)
     leader = system.leader()
     assert leader is not None
     assert not large or leader in system.names[small:]
-    system.store.blind |= set(system.names[:small]) - {leader}
+    system.store.without_configuration |= set(system.names[:small]) - {leader}
     return system, leader
 
 
@@ -101,7 +103,7 @@
 def test_members_with_small_links_get_it_and_the_leader_stays_quick() -> None:
     async def scenario() -> None:
         system, leader = await _started_system(33, 8)
-        claims = list(system.store.claims)
+        claims = list(system.store.claimed_epochs)
         silences = [0.0]
         _publish(system, _configuration(18))
         duration = await _wait_until(
@@ -112,7 +114,7 @@
         assert not _behind(system, 18)
         assert duration < 4.0
         assert max(silences) < SUSPECTED_AFTER_S / 2
-        assert system.store.claims == claims
+        assert system.store.claimed_epochs == claims
         assert system.leader() == leader
 
     run(scenario())
@@ -121,19 +123,19 @@
 def test_a_leader_with_a_small_link_sends_no_more_than_it_can() -> None:
     async def scenario() -> None:
         system, leader = await _started_system(34, 0)
-        claims = list(system.store.claims)
+        claims = list(system.store.claimed_epochs)
         silences, backlogs = [0.0], [0.0]
 
         def observe() -> None:
             silences.append(_longest_silence(system, leader))
-            backlogs.append(system.wires.out[leader].backlog)
+            backlogs.append(system.network.uplinks[leader].backlog)
 
         _publish(system, _configuration(18))
         await _wait_until(lambda: not _behind(system, 18), 60.0, observe)
         assert not _behind(system, 18)
         assert max(silences) < SUSPECTED_AFTER_S / 2
         assert max(backlogs) < 0.2
-        assert system.store.claims == claims
+        assert system.store.claimed_epochs == claims
 
     run(scenario())
 
@@ -163,9 +165,9 @@
         _publish(system, _configuration(18))
         await _wait_until(lambda: _parts_served(system, leader) >= 8, 5.0, lambda: None)
         cut = frozenset((behind, leader))
-        system.wires.cuts.add(cut)
+        system.network.partitions.add(cut)
         await asyncio.sleep(1.0)
-        system.wires.cuts.discard(cut)
+        system.network.partitions.discard(cut)
         await _wait_until(lambda: not _behind(system, 18), 10.0, lambda: None)
         assert not _behind(system, 18)
         received = system.members[behind].metrics.counters[("configuration_bytes", "got")]
@@ -234,8 +236,8 @@
 def test_a_leader_that_is_behind_gets_it_over_small_links(seed: int) -> None:
     async def scenario() -> None:
         system, leader = await _started_system(8, 0, seed)
-        claims = list(system.store.claims)
-        system.store.blind = {leader}
+        claims = list(system.store.claimed_epochs)
+        system.store.without_configuration = {leader}
         silences = [0.0]
         _publish(system, _configuration(18))
         duration = await _wait_until(
@@ -246,7 +248,7 @@
         assert not _behind(system, 18)
         assert duration < 4.0
         assert max(silences) < SUSPECTED_AFTER_S / 2
-        assert system.store.claims == claims
+        assert system.store.claimed_epochs == claims
 
     run(scenario())
 
@@ -267,7 +269,7 @@
             started_at = loop.time()
             call = CallerCall(Operation.STATE, HOST, PREFIX)
             replies = await asyncio.gather(
-                *(system.members[behind].serve(call, TIMEOUT) for _ in range(20))
+                *(system.members[behind].serve(call, CALL_TIMEOUT_S) for _ in range(20))
             )
             durations.append(loop.time() - started_at)
             for reply in replies:
@@ -303,7 +305,7 @@
         outcomes = []
         for _ in range(50):
             call = CallerCall(Operation.STATE, HOST, NEW_PREFIX)
-            outcomes.append((await system.members[behind].serve(call, TIMEOUT)).outcome)
+            outcomes.append((await system.members[behind].serve(call, CALL_TIMEOUT_S)).outcome)
             await asyncio.sleep(0.05)
         assert set(outcomes) == {Outcome.DONE, Outcome.NOT_TAKEN}
         assert outcomes[-1] is Outcome.DONE
@@ -322,7 +324,7 @@
         await asyncio.sleep(0.1)
         outcomes = []
         while behind in _behind(system, 18) and len(outcomes) < 50:
-            reply = await system.hand_in(behind, f"c{len(outcomes):04x}")
+            reply = await system.submit_once(behind, f"c{len(outcomes):04x}")
             outcomes.append(reply.outcome)
             await asyncio.sleep(0.05)
         assert len(outcomes) > 5
--- a/tests/jobs/test_late_word.py
+++ b/tests/jobs/test_late_word.py
@@ -60,7 +60,7 @@
     async def scenario() -> None:
         state = StoreState(random.Random(1))
         committer = Committer(EmulatedStore(state, "m"), 1, random.Random(2))
-        state.latency = 0.4
+        state.latency_s = 0.4
         await committer.open()
         assert monotonic() - committer.confirmed_at < 0.01
 
--- a/tests/jobs/test_life_mixes.py
+++ b/tests/jobs/test_life_mixes.py
@@ -5,7 +5,7 @@
 from tests.emulator.faults import Fault
 from tests.emulator.life_faults import LIFE_FAULTS, draw
 from tests.emulator.loop import run
-from tests.emulator.mixes import play, play_organisations
+from tests.emulator.mixes import run_mix, run_organisation_mix
 
 SEEDS = (*range(5), *range(6, 12), 399, 1096, 6093)
 """With 399 and 1096, earlier versions of the code, in which these mixes took another course,
@@ -17,13 +17,13 @@
 
 
 def _play(seed: int) -> list[str]:
-    play_mix = play if seed % 3 else play_organisations
+    play_mix = run_mix if seed % 3 else run_organisation_mix
     return run(play_mix(seed, draw(seed), advice=seed % 2 == 0))
 
 
 @pytest.mark.parametrize("fault", LIFE_FAULTS, ids=lambda fault: fault.__name__)
 def test_each_fault_twice(fault: Fault) -> None:
-    assert run(play(3, [fault, fault], advice=True)) == []
+    assert run(run_mix(3, [fault, fault], advice=True)) == []
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/jobs/test_lives.py
+++ b/tests/jobs/test_lives.py
@@ -31,15 +31,15 @@
 async def _scenario(seed: int, fail_share: float) -> list[str]:
     """Submit short jobs while all VMs restart in turn; return what is wrong at the end."""
     system = System(seed, vms=4)
-    system.cell.seconds = 0.3
-    system.cell.fail_share = fail_share
+    system.cell.mean_task_seconds = 0.3
+    system.cell.failure_share = fail_share
     system.start_all()
     await asyncio.sleep(1.0)
     restarts = asyncio.create_task(_restart_all(system))
     await system.traffic("a", 200, 0.1)
     await restarts
     await system.settle(60.0)
-    return await system.faults()
+    return await system.find_violations()
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/jobs/test_load.py
+++ b/tests/jobs/test_load.py
@@ -65,7 +65,7 @@
 def test_pages_read_before_and_after_the_claim_are_progress() -> None:
     async def scenario() -> None:
         state = _store_with_pages()
-        state.latency = 0.1
+        state.latency_s = 0.1
         progress = LoadProgress()
         preload = Preload(LoadStore(EmulatedStore(state, "m"), progress))
         preload.start()
@@ -85,11 +85,11 @@
 def test_a_load_tells_its_tries_and_its_length(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
         state = _store_with_pages()
-        state.unread["m"] = UNREADABLE_KEY
+        state.jobs_unread_after["m"] = UNREADABLE_KEY
         store = EmulatedStore(state, "m")
         figures = Metrics()
         load = Load(7, store, LoadProgress(), figures)
-        asyncio.get_running_loop().call_later(6.0, state.unread.clear)
+        asyncio.get_running_loop().call_later(6.0, state.jobs_unread_after.clear)
         await load.run(Committer(store, 7, random.Random(3)), None)
         assert figures.cumulative("load")[-1] == 1
 
--- a/tests/jobs/test_lost_writes.py
+++ b/tests/jobs/test_lost_writes.py
@@ -20,14 +20,14 @@
     """
     system = System(seed, members=6)
     leader = await start_system(system)
-    system.store.lost = lost
-    system.store.late = late
+    system.store.lost_reply_share = lost
+    system.store.executes_lost_late = late
     durations: list[float] = []
 
     async def submit(number: int) -> None:
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        reply = await system.hand_in(leader, f"a{number:04x}")
+        reply = await system.submit_once(leader, f"a{number:04x}")
         durations.append(loop.time() - started_at if reply.outcome is Outcome.DONE else 9.0)
 
     calls = []
@@ -35,7 +35,7 @@
         calls.append(asyncio.create_task(submit(number)))
         await asyncio.sleep(0.04)
     await asyncio.wait(calls)
-    return durations, len(system.store.claims) - 1
+    return durations, len(system.store.claimed_epochs) - 1
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/jobs/test_many_members.py
+++ b/tests/jobs/test_many_members.py
@@ -14,7 +14,7 @@
 from sablemount.control.rpc import TcpNetwork
 from sablemount.jobs.settings import JobSettings
 from tests.emulator.loop import run
-from tests.emulator.network import Wires
+from tests.emulator.network import EmulatedNetwork
 
 MEMBERS = 300
 MAX_PINGS_PER_S = 2_000
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("cell", [0, 20, MEMBERS, 10 * MEMBERS])
 def test_members_of_a_large_cell_leave_a_new_leader_time_to_load(cell: int) -> None:
     async def scenario() -> None:
-        wires = Wires()
+        wires = EmulatedNetwork()
         pings = 0
 
         async def answer(link: Link, message: Message) -> Reply:
@@ -36,9 +36,9 @@
             pings += isinstance(message, Ping)
             return Pong(1, False, 0.0, loading=True)
 
-        wires.port("leader").listen("leader", answer, lambda link: None)
+        wires.member_network("leader").listen("leader", answer, lambda link: None)
         settings = MemberSettings("m", "m", JobSettings())
-        member = LeaderLink(settings, wires.port("m"), _reject_call)
+        member = LeaderLink(settings, wires.member_network("m"), _reject_call)
         member.cell = cell
         member.follow(LeaderRecord(1, "leader", "leader", "life"))
         link_task = asyncio.get_running_loop().create_task(member.run())
--- a/tests/jobs/test_many_vms.py
+++ b/tests/jobs/test_many_vms.py
@@ -7,7 +7,7 @@
 from sablemount.jobs.actions import StartRun, VmReport
 from sablemount.jobs.model import StepSpec
 from sablemount.jobs.settings import JobSettings
-from tests.emulator.loop import run, spend
+from tests.emulator.loop import block_loop, run
 from tests.jobs.rig import CORE, Rig, spec
 
 VMS = 3_000
@@ -39,7 +39,7 @@
 
     def _spend(self, seconds: float) -> None:
         self.processor_time += seconds
-        spend(seconds)
+        block_loop(seconds)
 
     async def hold(self, call: HoldCall, timeout: float) -> HoldResult:
         self.polls += 1
--- a/tests/jobs/test_narrow_cell.py
+++ b/tests/jobs/test_narrow_cell.py
@@ -5,7 +5,7 @@
 from sablemount.control.messages import Outcome
 from sablemount.control.store import Topic
 from tests.emulator.loop import run
-from tests.emulator.narrow import NarrowLink
+from tests.emulator.narrow import LimitedLink
 from tests.emulator.system import System
 from tests.jobs.running import start_system
 
@@ -19,7 +19,7 @@
 
 def _system_with_narrow_links(seed: int) -> System:
     system = System(seed, members=5)
-    system.links = {name: NarrowLink(LINK_BYTES_PER_S) for name in system.names}
+    system.store_links = {name: LimitedLink(LINK_BYTES_PER_S) for name in system.names}
     return system
 
 
@@ -32,15 +32,15 @@
         system = _system_with_narrow_links(1)
         await start_system(system)
         for version in (2, 3, 4):
-            before = {name: link.carried for name, link in system.links.items()}
+            before = {name: link.bytes_transferred for name, link in system.store_links.items()}
             system.configure(version, idle=IDLE_QUEUES)
             assert _configuration_bytes(system) > LINK_BYTES_PER_S
             await asyncio.sleep(READ_LIMIT_S)
             for name, member in system.members.items():
                 assert member.feed.version == version
-                assert system.links[name].carried - before[name] < 1.5 * _configuration_bytes(
-                    system
-                )
+                assert system.store_links[name].bytes_transferred - before[
+                    name
+                ] < 1.5 * _configuration_bytes(system)
 
     run(scenario())
 
@@ -51,11 +51,11 @@
         leader = await start_system(system)
         system.configure(2, idle=IDLE_QUEUES)
         await asyncio.sleep(20.0)
-        system.kill(leader, back_after=None)
+        system.kill(leader, restart_delay_s=None)
         await asyncio.sleep(4.0)
         assert system.leader() is not None
         for number, name in enumerate(system.members):
-            reply = await system.hand_in(name, f"a{number}")
+            reply = await system.submit_once(name, f"a{number}")
             assert reply.outcome is Outcome.DONE
 
     run(scenario())
@@ -68,7 +68,7 @@
         system.configure(2, idle=IDLE_QUEUES)
         await asyncio.sleep(READ_LIMIT_S)
         other = next(name for name in system.names if name != leader)
-        system.kill(other, back_after=0.5)
+        system.kill(other, restart_delay_s=0.5)
         await asyncio.sleep(READ_LIMIT_S)
         assert system.members[other].feed.version == 2
 
--- a/tests/jobs/test_narrow_links.py
+++ b/tests/jobs/test_narrow_links.py
@@ -14,7 +14,13 @@
 from sablemount.control.store import Page, PageItem, Topic, Unavailable
 from sablemount.jobs.records import Record
 from tests.emulator.loop import run
-from tests.emulator.narrow import BusyStore, NarrowLink, NarrowStore, Reads, UplinkStore
+from tests.emulator.narrow import (
+    LimitedLink,
+    LimitedLinkStore,
+    LimitedReadStore,
+    LimitedUplinkStore,
+    ReadQueue,
+)
 from tests.emulator.store import StoreState
 
 LINK_BYTES_PER_S = 625_000
@@ -29,8 +35,8 @@
 
     def __init__(self) -> None:
         self.state = StoreState(random.Random(1))
-        self.link = NarrowLink(LINK_BYTES_PER_S)
-        self.store = NarrowStore(self.state, "m", self.link)
+        self.link = LimitedLink(LINK_BYTES_PER_S)
+        self.store = LimitedLinkStore(self.state, "m", self.link)
         self.version = b""
 
     def follow(self) -> None:
@@ -82,7 +88,7 @@
         reader.follow()
         await asyncio.sleep(10 * LIST_INTERVAL_S)
         assert reader.version == b"1"
-        assert reader.link.carried < 2 * LARGE_RECORD_BYTES
+        assert reader.link.bytes_transferred < 2 * LARGE_RECORD_BYTES
 
     run(scenario())
 
@@ -97,7 +103,7 @@
         reader.follower.set_intervals(1.0, 1.0)
         await asyncio.sleep(1.0)
         assert reader.version == b"1"
-        assert reader.link.carried < 1.1 * LARGE_RECORD_BYTES
+        assert reader.link.bytes_transferred < 1.1 * LARGE_RECORD_BYTES
 
     run(scenario())
 
@@ -108,9 +114,9 @@
         reader.write(b"1")
         reader.follow()
         await asyncio.sleep(0.5)
-        reader.link.silent = True
+        reader.link.stalled = True
         await asyncio.sleep(3.0)
-        reader.link.silent = False
+        reader.link.stalled = False
         await asyncio.sleep(2.5)
         assert reader.version == b"1"
 
@@ -123,16 +129,18 @@
         state = StoreState(random.Random(1))
         records = [Record(f"k{number:05d}", b"x" * 2_000) for number in range(pages * 500)]
         state.topics[Topic.JOBS].add(records)
-        link = NarrowLink(LINK_BYTES_PER_S)
-        loaded = await load_records(NarrowStore(state, "m", link), None, None)
+        link = LimitedLink(LINK_BYTES_PER_S)
+        loaded = await load_records(LimitedLinkStore(state, "m", link), None, None)
         assert loaded is not None
         assert len(loaded) == len(records)
-        assert link.carried < 1.1 * 4 / 3 * sum(len(each.value) + len(each.key) for each in records)
+        assert link.bytes_transferred < 1.1 * 4 / 3 * sum(
+            len(each.value) + len(each.key) for each in records
+        )
 
     run(scenario())
 
 
-class _OverloadedStore(NarrowStore):
+class _OverloadedStore(LimitedLinkStore):
     """Leaves the first list unanswered, and refuses all calls made in parallel."""
 
     calls = 0
@@ -147,7 +155,7 @@
 
 def test_a_list_beside_one_that_is_silent_is_not_asked_for_without_a_pause() -> None:
     async def scenario() -> None:
-        store = _OverloadedStore(StoreState(random.Random(1)), "m", NarrowLink(LINK_BYTES_PER_S))
+        store = _OverloadedStore(StoreState(random.Random(1)), "m", LimitedLink(LINK_BYTES_PER_S))
         await read_newest(store, Topic.JOBS, 0.35, 6.0)
         assert store.calls <= 40
 
@@ -159,7 +167,7 @@
         state = StoreState(random.Random(1))
         records = [Record(f"k{number:05d}", b"x" * 2_000) for number in range(2_500)]
         state.topics[Topic.JOBS].add(records)
-        preload = Preload(NarrowStore(state, "m", NarrowLink(LINK_BYTES_PER_S)))
+        preload = Preload(LimitedLinkStore(state, "m", LimitedLink(LINK_BYTES_PER_S)))
         reading = preload.start()
         await asyncio.sleep(2 * MAX_AGE_S)
         assert not reading.done()
@@ -173,7 +181,7 @@
 def test_a_reading_that_has_aged_is_made_anew() -> None:
     async def scenario() -> None:
         preload = Preload(
-            NarrowStore(StoreState(random.Random(1)), "m", NarrowLink(LINK_BYTES_PER_S))
+            LimitedLinkStore(StoreState(random.Random(1)), "m", LimitedLink(LINK_BYTES_PER_S))
         )
         reading = preload.start()
         await reading
@@ -185,10 +193,10 @@
         assert preload.take() is None
 
 
-class _ResettingStore(NarrowStore):
+class _ResettingStore(LimitedLinkStore):
     """Answers nothing, and resets the connections of all lists after a second."""
 
-    def __init__(self, state: StoreState, member: str, link: NarrowLink) -> None:
+    def __init__(self, state: StoreState, member: str, link: LimitedLink) -> None:
         super().__init__(state, member, link)
         self._reset_at = asyncio.get_running_loop().time() + 1.0
 
@@ -206,7 +214,7 @@
 
 def test_a_list_of_which_all_tries_end_while_the_store_is_silent_has_failed() -> None:
     async def scenario() -> None:
-        store = _ResettingStore(StoreState(random.Random(1)), "m", NarrowLink(LINK_BYTES_PER_S))
+        store = _ResettingStore(StoreState(random.Random(1)), "m", LimitedLink(LINK_BYTES_PER_S))
         result = await read_newest(store, Topic.JOBS, 0.35, 6.0)
         assert isinstance(result, Unavailable)
         assert result.reason == "the connection was reset"
@@ -223,7 +231,7 @@
         ) -> Page | Unavailable:
             if self.remaining_s > -1.0:
                 return await super().newest(topic, after, timeout, progress)
-            return await NarrowStore.newest(self, topic, after, timeout, progress)
+            return await LimitedLinkStore.newest(self, topic, after, timeout, progress)
 
     async def scenario() -> None:
         reader = _Reader()
@@ -244,24 +252,24 @@
         members = 60
         rng = random.Random(3)
         state = StoreState(random.Random(1))
-        reads = Reads(members * LARGE_RECORD_BYTES / seconds)
+        reads = ReadQueue(members * LARGE_RECORD_BYTES / seconds)
         topic = state.topics[Topic.CONFIGURATION]
         topic.add([Record("config", b"1")])
         readers = []
         for number in range(members):
             reader = _Reader()
             reader.state = state
-            reader.store = BusyStore(state, f"m{number}", reader.link, reads)
+            reader.store = LimitedReadStore(state, f"m{number}", reader.link, reads)
             readers.append(reader)
             await asyncio.sleep(rng.uniform(0.0, 0.3))
             reader.follow()
         await asyncio.sleep(2 * LIST_INTERVAL_S)
         for version in (b"2", b"3"):
-            reads.read = 0
+            reads.bytes_read = 0
             topic.add([Record("config", version * LARGE_RECORD_BYTES)])
             await asyncio.sleep(5 * seconds + 5.0)
             assert [reader.version for reader in readers] == [version] * members
-            assert reads.read < 4 * members * LARGE_RECORD_BYTES
+            assert reads.bytes_read < 4 * members * LARGE_RECORD_BYTES
 
     run(scenario())
 
@@ -274,8 +282,10 @@
 def test_what_takes_the_uplink_long_is_appended_once(records: int, batches: int) -> None:
     async def scenario() -> None:
         state = StoreState(random.Random(1))
-        link = NarrowLink(LINK_BYTES_PER_S)
-        committer = Committer(UplinkStore(state, "m", link), 1, random.Random(1), LINK_BYTES_PER_S)
+        link = LimitedLink(LINK_BYTES_PER_S)
+        committer = Committer(
+            LimitedUplinkStore(state, "m", link), 1, random.Random(1), LINK_BYTES_PER_S
+        )
         await committer.open()
         await committer.append([Record("first", b"x")])
         jobs = [
@@ -289,6 +299,6 @@
             await asyncio.sleep(0.01)
             assert committer.reported_silence() < STORE_LOST_AFTER_S
         assert appends.done()
-        assert link.carried < 1.2 * size + 20_000
+        assert link.bytes_transferred < 1.2 * size + 20_000
 
     run(scenario())
--- a/tests/jobs/test_parted_leader.py
+++ b/tests/jobs/test_parted_leader.py
@@ -15,7 +15,7 @@
 from sablemount.control.messages import CallerCall, Operation, Outcome
 from sablemount.jobs.model import JobSpec, Shape, StepSpec
 from tests.emulator.loop import run
-from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
+from tests.emulator.system import CALL_TIMEOUT_S, HOST, PREFIX, System
 from tests.emulator.vm_ports import EmulatedVms
 
 MEMBERS = 5
@@ -36,12 +36,12 @@
 
     def partition(self, isolated: set[str], vm: str) -> None:
         """Cut some members off from the store and the others; only they reach one VM."""
-        self.store.turned_away |= isolated
+        self.store.unreachable_members |= isolated
         for name in self.names:
             if name in isolated:
                 self.unreachable_vms[name] = set(self.cell.vms) - {vm}
                 others = set(self.names) - isolated
-                self.wires.cuts |= {frozenset((name, other)) for other in others}
+                self.network.partitions |= {frozenset((name, other)) for other in others}
             else:
                 self.unreachable_vms[name] = {vm}
 
@@ -52,8 +52,8 @@
     Return the system, a member that is cut off and one that is not.
     """
     system = _PartitionedSystem(5)
-    system.cell.seconds = 60.0
-    system.cell.fail_share = 0.0
+    system.cell.mean_task_seconds = 60.0
+    system.cell.failure_share = 0.0
     system.start_all()
     await asyncio.sleep(2.0)
     spec = JobSpec("payload", (StepSpec(4, Shape(4_000, 500), expected_ms=60_000.0),))
@@ -72,7 +72,7 @@
     async def scenario() -> None:
         system, _, _ = await _start_partitioned(with_member)
         await asyncio.sleep(20.0)
-        assert system.store.claims[-1] > 1
+        assert system.store.claimed_epochs[-1] > 1
         assert system.cell.violations == []
 
     run(scenario())
@@ -83,10 +83,10 @@
     async def scenario() -> None:
         system, behind, ahead = await _start_partitioned(with_member)
         await asyncio.sleep(4.0)
-        submitted = await system.hand_in(ahead, "later")
+        submitted = await system.submit_once(ahead, "later")
         assert submitted.outcome is Outcome.DONE
         call = CallerCall(Operation.STATE, HOST, PREFIX + "later")
-        reply = await system.members[behind].serve(call, TIMEOUT)
+        reply = await system.members[behind].serve(call, CALL_TIMEOUT_S)
         assert reply.outcome is not Outcome.NO_JOB
 
     run(scenario())
--- a/tests/jobs/test_preload.py
+++ b/tests/jobs/test_preload.py
@@ -33,7 +33,7 @@
     async def scenario() -> None:
         state = _store_with_pages()
         store = EmulatedStore(state, "m")
-        state.latency = 0.1
+        state.latency_s = 0.1
         preload = Preload(store)
         preload.start()
         # The first page has been read by then; it contains the first two of these keys.
@@ -42,7 +42,7 @@
         topic.add([Record("k0001", b"second"), Record("k0002"), Record("new", b"first")])
         await asyncio.sleep(0.5)
         if forgotten:
-            state.forget_history()
+            state.trim_history()
         loaded = _values(await load_records(store, preload.take(), topic.end))
         assert loaded == {key: item.record.value for key, item in topic.newest.items()}
         assert loaded["k0001"] == b"second"
@@ -69,7 +69,7 @@
         state = StoreState(random.Random(1))
         keys = [Record(f"k{number:05d}", b"first") for number in range(12 * KEYS)]
         state.topics[Topic.JOBS].add(keys)
-        state.latency = 0.4
+        state.latency_s = 0.4
         loaded = await load_records(EmulatedStore(state, "m"), None, None)
         assert len(_values(loaded)) == len(keys)
 
@@ -105,7 +105,7 @@
 def test_what_took_long_to_read_is_not_read_anew_for_the_claim() -> None:
     async def scenario() -> None:
         state = _store_with_pages()
-        state.latency = 1.2
+        state.latency_s = 1.2
         store = EmulatedStore(state, "m")
         preload = Preload(store)
         reading = preload.start()
--- a/tests/jobs/test_record_sizes.py
+++ b/tests/jobs/test_record_sizes.py
@@ -14,7 +14,7 @@
 from sablemount.jobs.model import JobSpec, StepSpec, check_spec
 from sablemount.jobs.records import JobRecord, Record, encode
 from tests.emulator.loop import run
-from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
+from tests.emulator.system import CALL_TIMEOUT_S, HOST, PREFIX, System
 from tests.jobs.rig import CORE, Rig, queue, spec
 
 RECORD_BYTES = 262_144
@@ -75,9 +75,9 @@
         await asyncio.sleep(2.0)
         large = JobSpec("payload", (StepSpec(1, CORE, label="x" * 300_000),))
         call = CallerCall(Operation.SUBMIT, HOST, PREFIX + "large", large)
-        refused = asyncio.create_task(system.members["m0"].serve(call, TIMEOUT))
+        refused = asyncio.create_task(system.members["m0"].serve(call, CALL_TIMEOUT_S))
         await asyncio.sleep(0.5)
-        reply = await system.hand_in("m1", "other")
+        reply = await system.submit_once("m1", "other")
         assert (await refused).outcome is not Outcome.DONE
         assert reply.outcome is Outcome.DONE
 
--- a/tests/jobs/test_rooms.py
+++ b/tests/jobs/test_rooms.py
@@ -74,7 +74,7 @@
 
     async def scenario() -> list[str]:
         system = System(seed, vms=6)
-        system.cell.seconds = 1.0
+        system.cell.mean_task_seconds = 1.0
         system.start_all()
         await asyncio.sleep(1.0)
         traffic = asyncio.create_task(system.traffic("a", 120, 0.05))
@@ -88,6 +88,6 @@
         system.store.down = False
         await traffic
         await system.settle(60.0)
-        return await system.faults()
+        return await system.find_violations()
 
     assert run(scenario()) == []
--- a/tests/jobs/test_roster.py
+++ b/tests/jobs/test_roster.py
@@ -16,7 +16,7 @@
 async def _collect_pongs(system: System, seconds: float) -> list[Pong]:
     """Return the answers to all members' pings within some seconds."""
     pongs: list[Pong] = []
-    for name, listener in system.wires.listening.items():
+    for name, listener in system.network.listeners.items():
         handler = listener.handler
 
         async def record_pong(link, message, handler=handler):  # type: ignore[no-untyped-def]
--- a/tests/jobs/test_sizes.py
+++ b/tests/jobs/test_sizes.py
@@ -10,7 +10,7 @@
 from sablemount.jobs.sizes import call_size, progress_record, record_size, record_size_error
 from sablemount.platform.store import encode_records
 from tests.emulator.loop import run
-from tests.emulator.system import HOST, PREFIX, TIMEOUT, System
+from tests.emulator.system import CALL_TIMEOUT_S, HOST, PREFIX, System
 from tests.jobs.rig import CORE, Rig, queue, spec
 
 RECORD_BYTES = 262_144
@@ -95,7 +95,7 @@
         await asyncio.sleep(2.0)
         job = JobSpec("payload", (StepSpec(1, CORE),), 2**62, 1.0, 1.0)
         call = CallerCall(Operation.SUBMIT, HOST, PREFIX + "many", job)
-        reply = await system.members["m0"].serve(call, TIMEOUT)
+        reply = await system.members["m0"].serve(call, CALL_TIMEOUT_S)
         assert (reply.outcome, reply.path) == (Outcome.INVALID, "$.times")
 
     run(scenario())
--- a/tests/jobs/test_slow_store.py
+++ b/tests/jobs/test_slow_store.py
@@ -20,7 +20,7 @@
 async def _submit(system: System, name: str) -> CallerReply:
     leader = system.leader()
     assert leader is not None
-    return await system.hand_in(leader, name)
+    return await system.submit_once(leader, name)
 
 
 async def _submit_many(system: System, seconds: float) -> list[CallerReply]:
@@ -36,7 +36,7 @@
         system = System(21, vms=12)
         system.start_all()
         await asyncio.sleep(2.0)
-        system.store.latency = system.store.append_time = SLOW_S
+        system.store.latency_s = system.store.append_time_s = SLOW_S
         replies = await _submit_many(system, 5.0)
         assert {reply.outcome for reply in replies} == {Outcome.DONE}
 
@@ -48,12 +48,12 @@
         state = StoreState(random.Random(1))
         committer = Committer(EmulatedStore(state, "m"), 1, random.Random(3))
         await committer.open()
-        state.latency = state.append_time = SLOW_S
+        state.latency_s = state.append_time_s = SLOW_S
         appends = [committer.append([Record(f"k{n}", b"value")]) for n in range(4)]
         await asyncio.gather(*appends)
         await asyncio.sleep(3.0)
         # Four appends, those that overtook their predecessor in transmission, and one retry.
-        assert state.turns <= 8
+        assert state.queued_appends <= 8
         assert len(state.topics[Topic.JOBS].records) == 4
 
     run(scenario())
@@ -86,11 +86,11 @@
         system.start_all()
         await asyncio.sleep(2.0)
         for _ in range(3):
-            system.store.latency = system.store.append_time = 0.24
+            system.store.latency_s = system.store.append_time_s = 0.24
             await _submit_many(system, 1.5 + 0.07 * seed)
-            system.store.latency, system.store.append_time = 0.004, 0.0
+            system.store.latency_s, system.store.append_time_s = 0.004, 0.0
             await _submit_many(system, 1.5)
-        assert system.store.claims == [1]
+        assert system.store.claimed_epochs == [1]
 
     run(scenario())
 
@@ -102,12 +102,12 @@
         state = StoreState(random.Random(276))
         committer = Committer(EmulatedStore(state, "m"), 1, random.Random(279))
         await committer.open()
-        state.latency = state.append_time = SLOW_S
+        state.latency_s = state.append_time_s = SLOW_S
         await asyncio.gather(*[committer.append([Record(f"k{n}", b"value")]) for n in range(4)])
         await asyncio.sleep(3.0)
         # As above. If the store counts as losing writes, 3 of 300 seeds, among them this one, reach
         # 14 to 23 arrivals.
-        assert state.turns <= 8
+        assert state.queued_appends <= 8
         assert len(state.topics[Topic.JOBS].records) == 4
 
     run(scenario())
@@ -133,14 +133,14 @@
     await committer.open()
     for number in range(earlier_appends):
         await committer.append([Record(f"w{number}", b"value")])
-    state.latency, state.append_time = latency, append_time
+    state.latency_s, state.append_time_s = latency, append_time
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     await asyncio.gather(*[committer.append([Record(f"k{n}", b"value")]) for n in range(IN_FLIGHT)])
     seconds = loop.time() - started_at
     await asyncio.sleep(3.0)
     assert len(state.topics[Topic.JOBS].records) == earlier_appends + IN_FLIGHT
-    return state.turns, seconds
+    return state.queued_appends, seconds
 
 
 @pytest.mark.parametrize("earlier_appends", [0, 30])
--- a/tests/jobs/test_standing.py
+++ b/tests/jobs/test_standing.py
@@ -25,7 +25,7 @@
     """Return a system in which all machines but some are small."""
     system = System(seed, members=members)
     for name in system.names:
-        system.limits[name] = LARGE if name in large else SMALL
+        system.machine_limits[name] = LARGE if name in large else SMALL
     return system
 
 
@@ -87,13 +87,13 @@
 def test_the_lead_goes_to_a_large_machine_that_comes_later_and_no_call_is_refused() -> None:
     async def scenario() -> None:
         system = _system(50, "m4")
-        del system.limits["m4"]
+        del system.machine_limits["m4"]
         system.names.remove("m4")
         assert await start_system(system, 4.0) != "m4"
         system.start("m4")
         replies = []
         for number in range(150):
-            replies.append(asyncio.create_task(system.hand_in("m4", f"c{number:04x}")))
+            replies.append(asyncio.create_task(system.submit_once("m4", f"c{number:04x}")))
             await asyncio.sleep(0.1)
         outcomes = {reply.outcome for reply in await asyncio.gather(*replies[10:])}
         assert system.leader() == "m4"
@@ -105,7 +105,7 @@
 def test_the_lead_stays_where_no_machine_is_clearly_better() -> None:
     async def scenario() -> None:
         system = _system(60)
-        system.limits["m2"] = MachineLimits(2.0, 15.0, 8192, 552.0)
+        system.machine_limits["m2"] = MachineLimits(2.0, 15.0, 8192, 552.0)
         leader = await start_system(system)
         system.kill("m2", 0.1)
         await asyncio.sleep(15.0)
@@ -120,14 +120,14 @@
         first, better = system.names[:2]
         system.start(first)
         await asyncio.sleep(2.0)
-        system.store.unread[better] = ""
+        system.store.jobs_unread_after[better] = ""
         assert await start_system(system) == first
         await system.traffic("a", 20, 0.02)
         await asyncio.sleep(30.0)
-        assert system.store.claims == [1]
-        system.store.unread.clear()
+        assert system.store.claimed_epochs == [1]
+        system.store.jobs_unread_after.clear()
         await asyncio.sleep(20.0)
         assert system.leader() == better
-        assert system.store.claims == [1, 2]
+        assert system.store.claimed_epochs == [1, 2]
 
     run(scenario())
--- a/tests/jobs/test_store_lost.py
+++ b/tests/jobs/test_store_lost.py
@@ -20,7 +20,7 @@
     system = System(seed, members=MEMBERS)
     leader = await start_system(system)
     others = [name for name in system.names if name != leader]
-    system.store.turned_away.update([leader, *others[: REFUSED_MEMBERS - 1]])
+    system.store.unreachable_members.update([leader, *others[: REFUSED_MEMBERS - 1]])
     return system, leader
 
 
@@ -32,7 +32,7 @@
 async def _submit_continuously(system: System, leader: str) -> None:
     """Submit jobs continuously, so that the leader has records to append."""
     for number in range(40):
-        asyncio.create_task(system.hand_in(leader, f"b{number:04x}"))
+        asyncio.create_task(system.submit_once(leader, f"b{number:04x}"))
         await asyncio.sleep(0.04)
 
 
@@ -60,7 +60,7 @@
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.3)
         calls = [
-            asyncio.create_task(system.hand_in(name, f"a{number:04x}"))
+            asyncio.create_task(system.submit_once(name, f"a{number:04x}"))
             for number, name in enumerate(system.names)
         ]
         began = asyncio.get_running_loop().time()
@@ -83,13 +83,15 @@
         await asyncio.sleep(0.005)
     duration = loop.time() - began
     await asyncio.sleep(2.0)
-    assert system.store.claims == [1, 2]
+    assert system.store.claimed_epochs == [1, 2]
     return duration
 
 
 def _cut_off(system: System, leader: str) -> None:
-    system.wires.cuts |= {frozenset((leader, name)) for name in system.names if name != leader}
-    system.store.turned_away.add(leader)
+    system.network.partitions |= {
+        frozenset((leader, name)) for name in system.names if name != leader
+    }
+    system.store.unreachable_members.add(leader)
 
 
 def _kill(system: System, leader: str) -> None:
@@ -111,7 +113,7 @@
         system = System(1, members=MEMBERS)
         previous = await start_system(system)
         announced_to: list[str] = []
-        for name, listener in system.wires.listening.items():
+        for name, listener in system.network.listeners.items():
             handler = listener.handler
 
             async def record_announcement(link, message, name=name, handler=handler):  # type: ignore[no-untyped-def]
@@ -121,7 +123,7 @@
 
             listener.handler = record_announcement
         # A load takes longer than a member needs to connect.
-        system.store.latency = 0.05
+        system.store.latency_s = 0.05
         system.kill(previous, None)
         await asyncio.sleep(2.0)
         assert announced_to == []
--- a/tests/jobs/test_store_mixes.py
+++ b/tests/jobs/test_store_mixes.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.emulator.loop import run
-from tests.emulator.mixes import play, play_organisations, play_store
+from tests.emulator.mixes import run_mix, run_organisation_mix, run_store_mix
 from tests.emulator.store_faults import STORE_FAULTS, draw
 from tests.jobs.running import fault_mix
 
@@ -29,22 +29,22 @@
 
 @pytest.mark.parametrize("part", range(PARTS))
 def test_all_faults_of_the_store(part: int) -> None:
-    assert run(play_store(part, STORE_FAULTS[part::PARTS])) == []
+    assert run(run_store_mix(part, STORE_FAULTS[part::PARTS])) == []
 
 
 @pytest.mark.parametrize(
     "seed", (*FIRST_BATCH_LOST, START_AT_AN_EARLIER_INCARNATION, FAILS_BY_CHANCE)
 )
 def test_mixes_about_the_store(seed: int) -> None:
-    assert run(play_store(seed, draw(seed), advice=seed % 3 == 0)) == []
+    assert run(run_store_mix(seed, draw(seed), advice=seed % 3 == 0)) == []
 
 
 @pytest.mark.parametrize("seed", OF_ALL_KINDS)
 def test_mixes_of_all_kinds(seed: int) -> None:
-    assert run(play(100 + seed, fault_mix(seed), advice=seed % 2 == 0)) == []
+    assert run(run_mix(100 + seed, fault_mix(seed), advice=seed % 2 == 0)) == []
 
 
 def test_caps_that_a_new_leader_does_not_know() -> None:
     rng = random.Random(CAP_UNKNOWN)
     chosen = [rng.choice(STORE_FAULTS) for _ in range(12)]
-    assert run(play_organisations(CAP_UNKNOWN, chosen)) == []
+    assert run(run_organisation_mix(CAP_UNKNOWN, chosen)) == []
--- a/tests/jobs/test_store_outage.py
+++ b/tests/jobs/test_store_outage.py
@@ -41,7 +41,7 @@
     async def scenario() -> None:
         system = System(60)
         leader = await start_system(system)
-        system.store.turned_away.add(leader)
+        system.store.unreachable_members.add(leader)
         await asyncio.sleep(0.9)
         assert system.leader() not in (None, leader)
 
@@ -54,7 +54,7 @@
         system.start_all()
         await asyncio.sleep(2.0)
         leader_before = _common_leader_record(system)
-        system.store.latency = system.store.append_time = 0.3
+        system.store.latency_s = system.store.append_time_s = 0.3
         await asyncio.sleep(6.0)
         assert _common_leader_record(system) == leader_before
 
