--- a/tests/jobs/test_stuck_load.py
+++ b/tests/jobs/test_stuck_load.py
@@ -52,7 +52,7 @@
     """
     system = System(seed, members=MEMBERS)
     first, second = system.names[:2]
-    system.limits = dict.fromkeys(system.names[2:], SMALL)
+    system.machine_limits = dict.fromkeys(system.names[2:], SMALL)
     system.start(first)
     await asyncio.sleep(0.5)
     assert await start_system(system) == first
@@ -84,18 +84,18 @@
 
     async def scenario() -> None:
         system, first, second = await _start_with_jobs(seed)
-        system.store.page = RECORDS_PER_PAGE
-        system.store.unread[second] = _middle_key(system) if half else ""
+        system.store.page_records = RECORDS_PER_PAGE
+        system.store.jobs_unread_after[second] = _middle_key(system) if half else ""
         system.kill(first, None)
         assert await _wait_until(lambda: _is_loading(system, second), 2.0) is not None
         assert await _wait_until(lambda: system.leader() is not None, TAKEOVER_LIMIT_S) is not None
         third = system.leader()
         assert third is not None and third != second
-        reply = await system.hand_in(third, "new1")
+        reply = await system.submit_once(third, "new1")
         assert reply.outcome is Outcome.DONE
         assert await _all_complete(system)
-        assert system.store.claims == [1, 2, 3]
-        assert not system.watch.violations + system.cell.violations
+        assert system.store.claimed_epochs == [1, 2, 3]
+        assert not system.checker.violations + system.cell.violations
 
     run(scenario())
 
@@ -105,13 +105,15 @@
     async def scenario() -> None:
         system, first, second = await _start_with_jobs(seed)
         able = system.names[-1]
-        system.store.unread = {name: "" for name in system.names if name not in (first, able)}
+        system.store.jobs_unread_after = {
+            name: "" for name in system.names if name not in (first, able)
+        }
         system.kill(first, None)
         assert await _wait_until(lambda: _is_loading(system, second), 2.0) is not None
         assert await _wait_until(lambda: _is_leading(system, able), TAKEOVER_LIMIT_S) is not None
         await asyncio.sleep(5.0)
         assert _is_leading(system, able)
-        assert system.store.claims == [1, 2, 3]
+        assert system.store.claimed_epochs == [1, 2, 3]
 
     run(scenario())
 
@@ -123,18 +125,18 @@
 
     async def scenario() -> None:
         system, first, second = await _start_with_jobs(seed)
-        system.store.unread = dict.fromkeys(system.names, "")
+        system.store.jobs_unread_after = dict.fromkeys(system.names, "")
         system.kill(first, None)
         assert await _wait_until(lambda: _is_loading(system, second), 2.0) is not None
         system.store.down = not answers
         await asyncio.sleep(40.0)
-        assert system.store.claims == [1, 2]
+        assert system.store.claimed_epochs == [1, 2]
         system.store.down = False
-        system.store.unread.clear()
+        system.store.jobs_unread_after.clear()
         assert await _wait_until(lambda: system.leader() is not None, TAKEOVER_LIMIT_S) is not None
         # Where the store answers all other calls, a member may claim as soon as it can read the
         # jobs.
-        assert system.store.claims in ([[1, 2], [1, 2, 3]] if answers else [[1, 2]])
+        assert system.store.claimed_epochs in ([[1, 2], [1, 2, 3]] if answers else [[1, 2]])
         assert await _all_complete(system)
 
     run(scenario())
@@ -146,18 +148,18 @@
     async def scenario() -> None:
         system, first, _ = await _start_with_jobs(seed)
         pages = 20
-        system.store.page = len(system.store.topics[Topic.JOBS].newest) // pages
-        system.store.latency = latency
+        system.store.page_records = len(system.store.topics[Topic.JOBS].newest) // pages
+        system.store.latency_s = latency
         system.kill(first, None)
         duration = await _wait_until(lambda: system.leader() is not None, 100.0)
         assert duration is not None and duration > pages * latency * 0.8
-        assert system.store.claims == [1, 2]
+        assert system.store.claimed_epochs == [1, 2]
 
     run(scenario())
 
 
 def _ignore_configuration_calls(system: System, name: str) -> None:
-    listener = system.wires.listening[name]
+    listener = system.network.listeners[name]
     handler = listener.handler
 
     async def handle(link, message):  # type: ignore[no-untyped-def]
@@ -175,20 +177,20 @@
     async def scenario() -> None:
         system = System(seed, members=MEMBERS)
         first, second = system.names[:2]
-        system.limits = dict.fromkeys(system.names[2:], SMALL)
+        system.machine_limits = dict.fromkeys(system.names[2:], SMALL)
         system.start(first)
         _ignore_configuration_calls(system, first)
         await asyncio.sleep(0.5)
         assert await start_system(system) == first
-        system.store.blind.add(second)
-        system.store.unread[second] = ""
+        system.store.without_configuration.add(second)
+        system.store.jobs_unread_after[second] = ""
         system.configure(2)
         await asyncio.sleep(12.0)
         system.kill(first, None)
         assert await _wait_until(lambda: system.leader() is not None, 2.0) is not None
         await asyncio.sleep(5.0)
         assert system.leader() not in (None, second)
-        assert system.store.claims == [1, 2]
+        assert system.store.claimed_epochs == [1, 2]
 
     run(scenario())
 
@@ -200,8 +202,8 @@
     async def scenario() -> None:
         system, first, second = await _start_with_jobs(seed)
         others = system.names[2:]
-        system.store.unlisted.update(others)
-        system.store.unread[second] = ""
+        system.store.without_leader_topic.update(others)
+        system.store.jobs_unread_after[second] = ""
         system.kill(first, None)
         assert await _wait_until(lambda: _is_loading(system, second), 2.0) is not None
 
@@ -211,9 +213,9 @@
         assert await _wait_until(all_know, 2.0) is not None
         system.kill(second, None)
         assert await _wait_until(lambda: system.leader() is not None, TAKEOVER_LIMIT_S) is not None
-        assert system.store.claims == [1, 2, 3]
+        assert system.store.claimed_epochs == [1, 2, 3]
         assert system.store.conflicts <= MAX_REFUSED_CLAIMS * len(others)
-        assert not system.watch.violations + system.cell.violations
+        assert not system.checker.violations + system.cell.violations
 
     run(scenario())
 
@@ -228,7 +230,7 @@
         _ignore_configuration_calls(system, first)
         await asyncio.sleep(0.5)
         assert await start_system(system) == first
-        system.store.blind.update(system.names)
+        system.store.without_configuration.update(system.names)
         system.configure(2)
         await asyncio.sleep(12.0)
         system.kill(first, None)
--- a/tests/jobs/test_take_over.py
+++ b/tests/jobs/test_take_over.py
@@ -30,11 +30,11 @@
     async def scenario() -> None:
         system = System(31, vms=4)
         first = await start_system(system)
-        system.store.latency = SLOW_LATENCY_S
+        system.store.latency_s = SLOW_LATENCY_S
         system.kill(first, None)
         await asyncio.sleep(0.01)
         second = await _wait_for_leader(system)
-        reply = await system.hand_in(second, "a1")
+        reply = await system.submit_once(second, "a1")
         assert reply.outcome is Outcome.DONE
 
     run(scenario())
@@ -48,11 +48,11 @@
     async def scenario() -> None:
         system = System(seed, members=12)
         first = await start_system(system)
-        system.store.latency = VERY_SLOW_LATENCY_S
+        system.store.latency_s = VERY_SLOW_LATENCY_S
         system.kill(first, None)
         await asyncio.sleep(0.01)
         await _wait_for_leader(system)
         await asyncio.sleep(LEADER_TIMEOUT_S)
-        assert system.store.claims == [1, 2]
+        assert system.store.claimed_epochs == [1, 2]
 
     run(scenario())
--- a/tests/jobs/test_vm_checks.py
+++ b/tests/jobs/test_vm_checks.py
@@ -11,7 +11,7 @@
 from sablemount.jobs.model import JobSpec, Shape, StepSpec
 from tests.emulator.loop import run
 from tests.emulator.vm import Vm
-from tests.emulator.vms import LEASE, Cell
+from tests.emulator.vms import LEASE_S, Cell
 
 TASK = "job.0.0.0"
 RUN_TIME_S = 0.1
@@ -27,7 +27,7 @@
 
 
 def _acknowledge(cell: Cell, vm: Vm) -> None:
-    cell.hold(vm, HoldCall(vm.info.name, "", 1, 0, vm.next_end - 1, 0.0))
+    cell.hold(vm, HoldCall(vm.info.name, "", 1, 0, vm.next_completion - 1, 0.0))
 
 
 async def _run_to_completion(cell: Cell, vm: Vm) -> None:
@@ -70,7 +70,7 @@
 
 async def _noted_after_the_lease_was_over(cell: Cell, one: Vm, other: Vm) -> None:
     await _run_to_completion(cell, one)
-    await asyncio.sleep(LEASE * 1.1)
+    await asyncio.sleep(LEASE_S * 1.1)
     _acknowledge(cell, one)
     _start(cell, other, 2)
 
@@ -83,8 +83,8 @@
 
 async def _violations(case: Case) -> list[str]:
     cell = Cell(random.Random(1))
-    cell.fail_share = 0.0
-    cell.seconds = 0.001
+    cell.failure_share = 0.0
+    cell.mean_task_seconds = 0.001
     cell.jobs["job"] = JobSpec("payload", (StepSpec(1, Shape(1_000, 100)),))
     one, other = (cell.add("machine", "r", Shape(16_000, 65_536)) for _ in range(2))
     await case(cell, one, other)
--- a/tests/jobs/test_vm_mixes.py
+++ b/tests/jobs/test_vm_mixes.py
@@ -12,7 +12,7 @@
 from tests.emulator import faults as kinds
 from tests.emulator.faults import Fault
 from tests.emulator.loop import run
-from tests.emulator.mixes import play, play_organisations
+from tests.emulator.mixes import run_mix, run_organisation_mix
 from tests.emulator.vm_faults import (
     VM_FAULTS,
     draw,
@@ -64,13 +64,13 @@
 
 
 def _play(seed: int, chosen: list[Fault]) -> list[str]:
-    play_mix = play if seed % 3 else play_organisations
+    play_mix = run_mix if seed % 3 else run_organisation_mix
     return run(play_mix(seed, chosen, advice=seed % 2 == 0))
 
 
 @pytest.mark.parametrize("fault", VM_FAULTS, ids=lambda fault: fault.__name__)
 def test_each_fault_twice(fault: Fault) -> None:
-    assert run(play(3, [fault, fault], advice=True)) == []
+    assert run(run_mix(3, [fault, fault], advice=True)) == []
 
 
 @pytest.mark.parametrize("seed", (*SEEDS, *MANY_CRASHING_TASKS, LATE_CRASH_BESIDE_ISOLATED))
@@ -97,5 +97,5 @@
 def test_a_job_beside_many_tasks_that_crash_vms_is_served(seed: int) -> None:
     """Of six VMs it ran on four that crashed, never alone, and was failed permanently."""
     drawn = draw(seed)
-    play_mix = play if seed % 3 else play_organisations
+    play_mix = run_mix if seed % 3 else run_organisation_mix
     assert run(play_mix(seed, drawn, advice=seed % 2 == 0)) == []
--- a/tests/matrix_faults.py
+++ b/tests/matrix_faults.py
@@ -29,7 +29,7 @@
     def mend() -> None:
         if run.cell.log.mode is mode:
             run.cell.log.mode = LogMode.UP
-        run.cell.log.land_late_writes(run.cell.now)
+        run.cell.log.apply_delayed_writes(run.cell.now)
 
     run.heal_after(seconds, mend)
 
--- a/tests/matrix_run.py
+++ b/tests/matrix_run.py
@@ -129,7 +129,7 @@
         cell = self.cell
         cell.run_until(cell.settled, 30.0)
         self.origin = cell.now
-        cell.truth.single.update(f"transfers.{index}" for index in range(6))
+        cell.truth.at_most_once.update(f"transfers.{index}" for index in range(6))
         self._script()
         cell.run(END)
         cell.heal()
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -32,11 +32,11 @@
 from sablemount.jobs.records import Record
 from sablemount.platform.front import respond
 from sablemount.platform.store import TOPICS, decode_records
-from tests.emulator.advice import VALID, ticket
+from tests.emulator.advice import TICKET_VALIDITY_S, make_ticket
 from tests.emulator.store import StoreState
-from tests.emulator.system import LISTED_AFTER, STORE_POLL
+from tests.emulator.system import LISTING_DELAY_S, STORE_POLL_INTERVAL_S
 from tests.emulator.vm import Vm
-from tests.emulator.vm_ports import ACTS, Act, Told
+from tests.emulator.vm_ports import WORKER_HANDLERS, Body, WorkerHandler
 from tests.emulator.vms import Cell, loop_time
 from tests.platform.crossing import CONNECTION_CLOSED, NO_RESPONSE, WriteFaults
 from tests.platform.links import Link
@@ -64,10 +64,10 @@
         self.page_size = 2
         """Records in a page of the newest ones: few, so that a small data set has several pages."""
         self.cell = Cell(random.Random(2))
-        self.cell.on_crash = self._on_crash
-        self.cell.fail_share = 0.0
-        self.cell.advised = True
-        self.cell.seconds = 0.1
+        self.cell.on_task_crash = self._on_crash
+        self.cell.failure_share = 0.0
+        self.cell.requires_ticket = True
+        self.cell.mean_task_seconds = 0.1
         self.requests: list[str] = []
         self.tail_latency_ms: dict[str, float] = {}
         """Tail latency in ms that the latency-sensitive tasks of a job report, by the job."""
@@ -116,9 +116,9 @@
     async def _store(self, request: httputil.HTTPServerRequest) -> tuple[int, object]:
         if self.store.down:
             return 503, {}
-        await asyncio.sleep(self.store.latency)
+        await asyncio.sleep(self.store.latency_s)
         response = await self._call_store(request)
-        response_lost = self.store.rng.random() < self.store.lost
+        response_lost = self.store.rng.random() < self.store.lost_reply_share
         return (NO_RESPONSE, {}) if response_lost else response
 
     async def _call_store(self, request: httputil.HTTPServerRequest) -> tuple[int, object]:
@@ -204,7 +204,7 @@
         }
         if tenants:
             configuration["tenants"] = tenants
-            self.cell.configured([_organisation(row) for row in tenants], loop_time())
+            self.cell.record_caps([_organisation(row) for row in tenants], loop_time())
         if limits is not None:
             configuration["limits"] = limits
         record = Record("config", json.dumps(configuration).encode())
@@ -248,9 +248,9 @@
         new = self.cell.restart(worker, capacity)
         _drop_pending(listening)
         self._serve_worker(new, listening)
-        await asyncio.sleep(self.cell.rng.uniform(*LISTED_AFTER))
+        await asyncio.sleep(self.cell.rng.uniform(*LISTING_DELAY_S))
         while self.store.down:
-            await asyncio.sleep(STORE_POLL)
+            await asyncio.sleep(STORE_POLL_INTERVAL_S)
         if new.up:
             self._list(new)
 
@@ -268,7 +268,7 @@
             "capacity": {"cpu": capacity.cores, "memMb": capacity.memory, "gpu": 0},
             "labels": list(worker.info.labels),
             "seq": worker.info.revision + 1,
-            "born": worker.born,
+            "born": worker.started_at_ms,
         }
         self.list_foreign(worker.info.name, json.dumps(entry).encode())
 
@@ -310,8 +310,8 @@
             return CONNECTION_CLOSED, {}
         if request.headers["Expect-Instance"] != worker.info.name:
             return 421, {}
-        act = ACTS[request.path]
-        if self.cell.rng.random() < self.cell.late_orders:
+        act = WORKER_HANDLERS[request.path]
+        if self.cell.rng.random() < self.cell.late_request_share:
             self._execute_late(worker, act, arguments)
             return NO_RESPONSE, {}
         result = await act(self.cell, worker, arguments)
@@ -326,7 +326,7 @@
             row.append(self.tail_latency_ms.get(row[0][:16], 3))
         return status, reply
 
-    def _execute_late(self, worker: Vm, act: Act, arguments: Told) -> None:
+    def _execute_late(self, worker: Vm, act: WorkerHandler, arguments: Body) -> None:
         """Execute a command seconds later, after newer ones, without a response."""
 
         async def execute() -> None:
@@ -342,13 +342,15 @@
         request_body = json.loads(request.body)
         if len(request_body["workers"]) > MAX_ADVISED_WORKERS:
             return 400, {"error": "too many workers"}
-        until = loop_time() + VALID
-        incarnations = {name: self.cell.newest(name).life for name in request_body["workers"]}
+        until = loop_time() + TICKET_VALIDITY_S
+        incarnations = {
+            name: self.cell.newest_incarnation(name).incarnation for name in request_body["workers"]
+        }
         good = [
-            [name, ticket(request_body["step"], incarnation, until)]
+            [name, make_ticket(request_body["step"], incarnation, until)]
             for name, incarnation in incarnations.items()
         ]
-        return 200, {"good": good, "validMs": int(VALID * 1000)}
+        return 200, {"good": good, "validMs": int(TICKET_VALIDITY_S * 1000)}
 
 
 def _drop_pending(listening: socket.socket) -> None:
--- a/tests/platform/test_idle_connections.py
+++ b/tests/platform/test_idle_connections.py
@@ -89,7 +89,7 @@
 ) -> Counter[str]:
     connections = [await _connect(nodes[number % len(nodes)]) for number in range(CALLERS)]
     if not store_answers:
-        standin.store.latency = SILENT_STORE_LATENCY_S
+        standin.store.latency_s = SILENT_STORE_LATENCY_S
     for node in nodes:
         node.signal(signal.SIGTERM)
     calls = [_call_after_delay(number, connection) for number, connection in enumerate(connections)]
--- a/tests/platform/test_late_calls.py
+++ b/tests/platform/test_late_calls.py
@@ -30,7 +30,7 @@
     pair.processes[0].request_stop()
     await asyncio.sleep(CALL_AFTER_S)
     # The leader has to wait for the store, which delays the response.
-    pair.standin.store.latency = 1.0
+    pair.standin.store.latency_s = 1.0
     body = json.dumps(JOB).encode()
     head = f"POST {PREFIX}{NAME} HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: {len(body)}\r\n\r\n"
     writer.write(head.encode() + body)
@@ -38,7 +38,7 @@
     with contextlib.suppress(TimeoutError):
         response = await asyncio.wait_for(reader.read(), GRACE_S - CALL_AFTER_S)
     writer.close()
-    pair.standin.store.latency = 0.004
+    pair.standin.store.latency_s = 0.004
     return response
 
 
@@ -56,7 +56,7 @@
     host, _, port = pair.processes[0].boot.listen.front.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     pair.standin.cell.jobs[NAME] = decode_job(json.dumps(JOB).encode())
-    pair.standin.store.latency = 5.0
+    pair.standin.store.latency_s = 5.0
     pair.processes[0].request_stop()
     await asyncio.sleep(0.1)
     body = json.dumps(JOB).encode()
@@ -64,7 +64,7 @@
     writer.write(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
     response = await reader.read()
     writer.close()
-    pair.standin.store.latency = 0.004
+    pair.standin.store.latency_s = 0.004
     return response
 
 
--- a/tests/platform/test_process_soak.py
+++ b/tests/platform/test_process_soak.py
@@ -28,7 +28,9 @@
 
 async def _run_soak(seed: int, kind: str, folder: Path) -> list[str]:
     vms = VMS if kind == "lives" else Size.vms
-    size = Size(seconds=12.0, vms=vms, faults=FAULTS[kind], fault_every=2.0, least_accepted=0.0)
+    size = Size(
+        seconds=12.0, vms=vms, faults=FAULTS[kind], fault_interval_s=2.0, min_accepted_share=0.0
+    )
     # The stand-in's servers belong to the event loop in which they are created.
     return await Soak(seed, size, folder).run()
 
--- a/tests/platform/test_standin.py
+++ b/tests/platform/test_standin.py
@@ -7,7 +7,7 @@
 
 from sablemount.control.store import Topic
 from sablemount.jobs.model import JobSpec, Shape, StepSpec
-from tests.emulator.advice import ticket
+from tests.emulator.advice import make_ticket
 from tests.emulator.system import loop_time
 from tests.emulator.vm import Vm
 from tests.platform.standin import Standin
@@ -46,12 +46,12 @@
         standin = Standin()
         host, _, port = standin.store_address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        standin.store.lost = 1.0
+        standin.store.lost_reply_share = 1.0
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await _send(reader, writer, f"POST {APPEND}", RECORD)
         assert standin.store.topics[Topic.JOBS].end == 1
-        standin.store.lost = 0.0
+        standin.store.lost_reply_share = 0.0
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await _send(reader, writer, f"GET {NEWEST}", b"")
@@ -74,10 +74,10 @@
 def test_a_start_is_refused_for_its_fence_time_number_and_ticket_in_this_order() -> None:
     async def scenario() -> None:
         standin = Standin()
-        standin.cell.seconds = 60.0
+        standin.cell.mean_task_seconds = 60.0
         standin.cell.jobs["j"] = JobSpec("", (StepSpec(1, Shape(1_000, 1_000)),))
         worker = standin.add_worker("r")
-        good = ticket("j.0.0", worker.info.name, loop_time() + 60.0)
+        good = make_ticket("j.0.0", worker.info.name, loop_time() + 60.0)
         assert await _start(standin, worker, 1, 5.0, "") == (409, "ticket")
         assert await _start(standin, worker, 1, -1.0, "") == (409, "late")
         assert await _start(standin, worker, 1, 5.0, good) == (200, None)
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -185,7 +185,7 @@
 
 def test_a_cancelled_job_is_told_so_and_stops() -> None:
     async def scenario(pair: ProcessPair) -> None:
-        pair.standin.cell.seconds = 60.0
+        pair.standin.cell.mean_task_seconds = 60.0
         job = "00000000000000ca"
         pair.standin.cell.jobs[job] = decode_job(json.dumps(JOB).encode())
         await pair.call(0, "POST", PREFIX + job, JOB)
@@ -206,7 +206,7 @@
 
 def test_best_effort_runs_are_throttled_beside_latency_sensitive_ones() -> None:
     async def scenario(pair: ProcessPair) -> None:
-        pair.standin.cell.seconds = 60.0
+        pair.standin.cell.mean_task_seconds = 60.0
         latency_sensitive = {"count": 2, "cpu": 500, "memMb": 10, "daemon": True, "targetMs": 100}
         best_effort = {"count": 2, "cpu": 500, "memMb": 10, "daemon": True, "fills": True}
         for job, step in (
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -170,7 +170,7 @@
     assert "\n".join(observed) == snapshot
     assert all(" NOT_RUN " in line for line in observed)
     assert cell.truth.starts.total() == 0
-    assert cell.truth.executed.total() == 0
+    assert cell.truth.executions.total() == 0
 
 
 def test_an_oversized_body_is_refused() -> None:
@@ -183,7 +183,7 @@
         )
         assert response.code in (400, 413, 599)
 
-    assert asyncio.run(run_in_cell(scenario)).truth.executed.total() == 0
+    assert asyncio.run(run_in_cell(scenario)).truth.executions.total() == 0
 
 
 # -- The command line ------------------------------------------------------------------------
--- a/tests/test_false_suspicion.py
+++ b/tests/test_false_suspicion.py
@@ -53,7 +53,7 @@
     cell.run(SILENCE - 1.8)
     cell.log.mode = LogMode.DOWN
     assert [claim.shard for claim in _claims(cell)] == [0]
-    assert cell.log.late
+    assert cell.log.delayed_writes
     return cell
 
 
@@ -68,7 +68,7 @@
     asked = [cell.request("rueda/quote", name) for name in cell.names for _ in range(4)]
     cell.run(3.0)
     assert [request for request in asked if not cell.answers[request].is_ok()] == []  # type: ignore[attr-defined]
-    assert all(member.core.state.leased() for member in cell.live())
+    assert all(member.core.state.has_lease() for member in cell.live())
 
 
 @pytest.mark.parametrize("suspicion", SUSPICIONS)
@@ -96,7 +96,7 @@
     cell = _one_is_suspected()
     cell.run(outage)
     cell.log.mode = LogMode.UP
-    cell.log.land_late_writes(cell.now)
+    cell.log.apply_delayed_writes(cell.now)
     cell.part("s0", LOG)
     for _ in range(200):
         cell.run(0.1)
@@ -111,7 +111,7 @@
         shard
         for member in cell.live()
         if member.core.state.now < member.core.state.lease_until
-        for shard, held in member.core.state.held.items()
-        if held.opened
+        for shard, held in member.core.state.held_shards.items()
+        if held.recovery_complete
     ]
     assert len(acting) == len(set(acting)), f"two owners act at {cell.now}"
--- a/tests/test_lost_worth.py
+++ b/tests/test_lost_worth.py
@@ -1,4 +1,4 @@
-"""The table of late jobs: who was late, and what held it up."""
+"""The table of late jobs: which jobs are late, and the reasons of their delays."""
 
 import json
 
@@ -9,11 +9,11 @@
 
 
 def _day(*lines: tuple[float, str, dict[str, object]]) -> Day:
-    texts = [
+    printed_lines = [
         f"  {at:.4f} machine-1 {json.dumps({'time': at, 'message': message, **fields})}"
         for at, message, fields in lines
     ]
-    parsed = [parse(text) for text in texts]
+    parsed = [parse(text) for text in printed_lines]
     return Day([line for line in parsed if line is not None])
 
 
@@ -24,35 +24,35 @@
         "asked_for": 0.0,
         "runs": [[0, 1, "w0"]],
     }
-    ends = {
+    completion = {
         "known": ended - accepted,
         "runs": [["0.0.0", 1, "w0", began - accepted, ended - accepted, "done"]],
     }
     return [
         (accepted, "job accepted", {"job": name}),
         (began, "step placed", placed),
-        (ended, "job ended", {"job": name, "state": "succeeded", **TERMS, **ends}),
+        (ended, "job ended", {"job": name, "state": "succeeded", **TERMS, **completion}),
     ]
 
 
 def test_a_job_in_time_is_not_late() -> None:
     day = _day(*_job("a", 1.0, 1.0, 1.6))
-    assert not Lateness(day, day.jobs["a"]).late()
+    assert not Lateness(day, day.jobs["a"]).is_late()
 
 
 def test_the_seconds_before_the_acceptance_count_as_a_lost_answer() -> None:
     refused = (0.0, "refused", {"request": "a", "method": "POST", "status": 503, "why": "busy"})
     day = _day(refused, *_job("a", 1.0, 1.0, 1.6))
     lateness = Lateness(day, day.jobs["a"])
-    assert lateness.late()
-    lateness.walk()
+    assert lateness.is_late()
+    lateness.attribute_delays()
     assert lateness.delays["lost answer"] == 1.0
 
 
 def test_what_waits_for_a_vm_waits_for_room_but_for_what_others_explain() -> None:
     day = _day(*_job("a", 1.0, 3.0, 3.6))
     lateness = Lateness(day, day.jobs["a"])
-    lateness.walk()
+    lateness.attribute_delays()
     assert round(lateness.delays["room"], 6) == 2.0
 
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -79,7 +79,7 @@
     cell = make_cell()
     cell.submit("rueda/long", "long", 1)
     cell.run(2.0)
-    vm = next(iter(cell.truth.places["long"]))
+    vm = next(iter(cell.truth.running_on["long"]))
     for name in cell.names:
         cell.part(name, vm)
     cell.run(25.0)
@@ -103,10 +103,10 @@
 def owner_dies_with_a_transfer() -> VirtualCell:
     """The owner of a non-repeatable task and the task's VM die together."""
     cell = make_cell()
-    cell.truth.single.add("transfer")
+    cell.truth.at_most_once.add("transfer")
     cell.submit("yard/transfer", "transfer", 1)
     cell.run(2.0)
-    vm = next(iter(cell.truth.places["transfer"]))
+    vm = next(iter(cell.truth.running_on["transfer"]))
     cell.crash(owner_of(cell, "transfer"))
     cell.workers[vm].fail()
     cell.run(60.0)
@@ -196,7 +196,7 @@
 
 
 def test_without_the_drain_a_leaving_vm_gets_work(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(State, "leaving", lambda self, row: False)
+    monkeypatch.setattr(State, "is_leaving", lambda self, row: False)
     assert kinds(work_after_leaving()) == {"leaving"}
 
 
@@ -285,6 +285,6 @@
 
 
 def test_without_confirmation_a_vm_is_over_committed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("sablemount.core.tables.VmRow.has_room", lambda self, shape: True)
+    monkeypatch.setattr("sablemount.core.tables.VmRow.can_fit", lambda self, shape: True)
     monkeypatch.setattr(FakeWorker, "_command", lambda self, run, kind: None)
     assert "capacity" in kinds(urgent_task_in_a_full_cell())
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -75,7 +75,7 @@
     assert cell.members["s0"].core.state.meter.total("snapshots") <= 1
     assert cell.members["s1"].core.state.meter.total("snapshots") >= 1
     ledger = cell.members["s1"].core.state.ledger
-    assert ledger.offset - ledger.snapshot_upto < RETENTION
+    assert ledger.offset - ledger.snapshot_offset < RETENTION
 
 
 def test_a_scheduler_that_starts_in_an_outage_asks_its_peers() -> None:
@@ -86,7 +86,7 @@
     cell.run(5.0)
     assert fresh.core.state.ready
     assert revisions(fresh) == revisions(cell.members["s0"])
-    assert not fresh.core.state.held
+    assert not fresh.core.state.held_shards
     cell.log.mode = LogMode.UP
     cell.run_until(cell.settled, 120.0)
     assert cell.truth.violations == []
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -176,7 +176,7 @@
         repeated = await post_request(cell, "s1", b"t", "yard/stock", **key)
         assert repeated.headers["Sablemount-Verdict"] == "MAY_HAVE_RUN"
         assert repeated.code == 409
-        assert cell.truth.executed.total() == 1
+        assert cell.truth.executions.total() == 1
 
     run_scenario(tmp_path, scenario, service_time=2.0)
 
@@ -218,7 +218,7 @@
         path = f"/v1/vms/{target['vm']}/drain"
         assert (await cell.call(other, "POST", path, {"drain": True}))["drain"] is True
         server = next(s for s in cell.workers if s.facts.vm == target["vm"])
-        server.worker.left_since = time.monotonic()
+        server.worker.left_at = time.monotonic()
         await asyncio.sleep(3.1)
         cell.signal(target["owner"], signal.SIGKILL)
         body = {"template": "rueda/plan", "job": "plans", "count": 12}
