--- a/src/sablemount/core/systems/__init__.py
+++ b/src/sablemount/core/systems/__init__.py
@@ -1,1 +1,1 @@
-"""Systems that run over the tables at each tick, one module each."""
+"""The scheduler's systems: one module each, run over the tables of the state at every tick."""
--- a/src/sablemount/core/systems/commands.py
+++ b/src/sablemount/core/systems/commands.py
@@ -1,4 +1,4 @@
-"""Commands of callers and operators that take effect through the log."""
+"""Commands of callers and operators, which take effect once their records are in the log."""
 
 import msgspec
 from result import Err
@@ -27,15 +27,16 @@
 
 __all__ = ["Commands"]
 
-MIN_CHUNK = 4
-MAX_CHUNK = 50
-"""Fewest and most tasks of one job that go into one shard together."""
-MAX_COUNT = 10_000
-RETRY_AFTER = 5.0
+MIN_CHUNK_TASKS = 4
+MAX_CHUNK_TASKS = 50
+"""Bounds of the number of tasks of one job that are accepted into a shard in one record."""
+MAX_JOB_TASKS = 10_000
+RETRY_AFTER_S = 5.0
+"""When a caller may try again after the log was unavailable."""
 
 
 class Commands:
-    """Checks commands, writes their records, and answers when the log has settled them."""
+    """Validates commands, writes their records, and answers once the log has settled them."""
 
     def __init__(
         self, state: State, journal: Journal, placement: Placement, inventory: Inventory
@@ -48,7 +49,7 @@
     # -- Jobs --------------------------------------------------------------------------------
 
     def submitted(self, event: JobSubmitted) -> None:
-        """Accept a job once its records are in the log."""
+        """Validate a submitted job and write its tasks to the log in chunks, one shard each."""
         failure = self._job_failure(event)
         if failure is not None:
             self._answer(event.token, failure)
@@ -73,9 +74,9 @@
             self._write(accept, outcome.settled, event.deadline)
 
     def _chunk_size(self, count: int) -> int:
-        """Return how many tasks go into one shard together, so that a rush meets every owner."""
-        even = -(-count // self._state.settings.shards)
-        return min(MAX_CHUNK, max(MIN_CHUNK, even))
+        """Return the number of tasks per chunk, such that a large job is spread over all owners."""
+        even_size = -(-count // self._state.settings.shards)
+        return min(MAX_CHUNK_TASKS, max(MIN_CHUNK_TASKS, even_size))
 
     def _job_failure(self, event: JobSubmitted) -> Failure | None:
         state = self._state
@@ -90,8 +91,8 @@
         if row.document.kind is not Kind.TASK:
             detail = f"$.template: {event.template!r} is a {row.document.kind.value}, not a task"
             return Failure(Verdict.NOT_RUN, Reason.BAD_REQUEST, detail)
-        if not 0 < event.count <= MAX_COUNT:
-            detail = f"$.count: expected 1 to {MAX_COUNT}, got {event.count}"
+        if not 0 < event.count <= MAX_JOB_TASKS:
+            detail = f"$.count: expected 1 to {MAX_JOB_TASKS}, got {event.count}"
             return Failure(Verdict.NOT_RUN, Reason.BAD_REQUEST, detail)
         bound = bind_parameters(row.document, event.parameters)
         if isinstance(bound, Err):
@@ -108,7 +109,7 @@
     # -- Documents ---------------------------------------------------------------------------
 
     def published(self, event: PublishRequested) -> None:
-        """Publish a document against its expected revision."""
+        """Publish a document; rejected unless the expected revision is the current one."""
         error = check_document(event.document)
         if not error and isinstance(event.document, TemplateDocument):
             failure = self._shape_failure(event.document.shape)
@@ -135,7 +136,7 @@
         self._write(records.Cancel(event.task), settled, event.deadline)
 
     def drained(self, event: DrainRequested) -> None:
-        """Drain a VM, or take it back."""
+        """Start or cancel the drain of a VM."""
         if event.vm not in self._state.vms:
             detail = f"vm: {event.vm!r} is not known"
             self._answer(event.token, Failure(Verdict.NOT_RUN, Reason.BAD_REQUEST, detail))
@@ -161,24 +162,24 @@
 
 
 class _JobOutcome:
-    """Collects what became of the chunks of one job."""
+    """Collects the settlements of one job's chunks and answers the caller."""
 
     def __init__(self, commands: Commands, token: str, chunks: int) -> None:
         self._commands = commands
         self._token = token
-        self._missing = chunks
+        self._unsettled = chunks
         self._accepted = 0
         self._failure: Failure | None = None
 
     def settled(self, settlement: Settlement, detail: str) -> None:
-        """Take one chunk's settlement and answer after the last."""
-        self._missing -= 1
+        """Record one chunk's settlement, and answer the caller after the last one."""
+        self._unsettled -= 1
         failure = failure_of(settlement, detail, Reason.CONFLICT)
         if failure is None:
             self._accepted += 1
         elif self._failure is None or failure.verdict is Verdict.MAY_HAVE_RUN:
             self._failure = failure
-        if self._missing:
+        if self._unsettled:
             return
         failure = self._failure
         if failure is not None and self._accepted:
@@ -188,13 +189,13 @@
 
 
 def failure_of(settled: Settlement, detail: str, rejected: Reason) -> Failure | None:
-    """Return what a settlement means for the caller; ``None`` for success."""
+    """Return the failure that a settlement is for the caller, or ``None`` on success."""
     if settled is Settlement.ACCEPTED:
         return None
     if settled is Settlement.REJECTED:
         return Failure(Verdict.NOT_RUN, rejected, detail)
     if settled is Settlement.NOT_WRITTEN:
         text = detail or "the log does not answer"
-        return Failure(Verdict.NOT_RUN, Reason.LOG_UNAVAILABLE, text, RETRY_AFTER)
+        return Failure(Verdict.NOT_RUN, Reason.LOG_UNAVAILABLE, text, RETRY_AFTER_S)
     text = "the log has not confirmed the record; read the state before trying again"
-    return Failure(Verdict.MAY_HAVE_RUN, Reason.LOG_UNAVAILABLE, text, RETRY_AFTER)
+    return Failure(Verdict.MAY_HAVE_RUN, Reason.LOG_UNAVAILABLE, text, RETRY_AFTER_S)
--- a/src/sablemount/core/systems/inventory.py
+++ b/src/sablemount/core/systems/inventory.py
@@ -1,8 +1,8 @@
-"""Inventory: the VM list, enrolment in the log, and who is leaving.
+"""Inventory: the VM list, enrolment of VMs in the log, and draining.
 
-The list lags. So an owner writes a VM into the log before its first use, and strikes it out when
-nothing of ours can be on it any more. A successor thereby knows every VM that it must ask before
-it may conclude that a task runs nowhere.
+The VM list is eventually consistent. An owner therefore enrols a VM in the log before its first
+use, and dismisses it once no run of its shard can still be on it. A new owner of the shard thus
+knows every VM that it has to poll before it may conclude that a task runs nowhere.
 """
 
 from sablemount.core import records
@@ -18,38 +18,38 @@
 
 __all__ = ["Inventory"]
 
-ENROL_DEADLINE = 5.0
-"""How long an enrolment waits to be written before it is considered anew, in seconds."""
+ENROLMENT_TIMEOUT_S = 5.0
+"""Time after which an unwritten enrolment or dismissal is withdrawn and decided again."""
 
-RUN_INTERVAL = 0.25
-"""Time between two runs over the VM rows, in seconds."""
+SCAN_INTERVAL_S = 0.25
+"""Time between two passes over the VM rows."""
 
 
 class Inventory:
-    """Keeps the VM rows, their stages and their enrolment."""
+    """Maintains the VM rows, their stages and their enrolment."""
 
     def __init__(self, state: State, journal: Journal) -> None:
         self._state = state
         self._journal = journal
-        self._next_run = 0.0
+        self._next_scan = 0.0
         journal.listeners.append(self._applied)
         journal.reset_listeners.append(self._reset)
 
     # -- Rows --------------------------------------------------------------------------------
 
     def listed(self, event: VmListRead) -> None:
-        """Take the VM list."""
+        """Apply a new VM list to the rows."""
         state = self._state
-        seen = set()
+        listed_vms = set()
         for facts in event.vms:
-            seen.add(facts.vm)
+            listed_vms.add(facts.vm)
             row = self._row(facts)
             row.listed = True
             row.leaving = facts.leaving
             if row.leaving:
                 state.reindex(row)
         for row in state.vms.values():
-            if row.listed and row.vm not in seen:
+            if row.listed and row.vm not in listed_vms:
                 row.listed = False
                 state.reindex(row)
 
@@ -70,7 +70,7 @@
         if isinstance(body, records.Enroll):
             self._row(body.facts)
         elif isinstance(body, records.Drain):
-            # The log has settled it; a notice has done its work.
+            # The ledger now holds what the notice anticipated.
             self._state.drain_notices.pop(body.vm, None)
 
     def _reset(self) -> None:
@@ -81,11 +81,11 @@
     # -- Stages ------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Enrol, settle the stages, and strike out what is gone."""
+        """Enrol listed VMs, update the stages, and dismiss removed VMs."""
         state = self._state
-        if not state.leased() or state.now < self._next_run:
+        if not state.leased() or state.now < self._next_scan:
             return
-        self._next_run = state.now + RUN_INTERVAL
+        self._next_scan = state.now + SCAN_INTERVAL_S
         enrolling = {item.facts.vm for item in self._journal.waiting(records.Enroll)}
         dismissing = {item.vm for item in self._journal.waiting(records.Dismiss)}
         for shard in state.held:
@@ -98,7 +98,7 @@
                         self._enrol(row)
                 elif row.vm not in dismissing:
                     self._consider_dismissal(row)
-                self._settle_stage(row, row.vm in enrolled)
+                self._update_stage(row, row.vm in enrolled)
 
     def _enrol(self, row: VmRow) -> None:
         state = self._state
@@ -106,9 +106,9 @@
             return
         held = state.held[row.shard]
         enrol = records.Enroll(row.facts, row.shard, held.epoch)
-        self._journal.write(enrol, None, state.now + ENROL_DEADLINE)
+        self._journal.write(enrol, None, state.now + ENROLMENT_TIMEOUT_S)
 
-    def _settle_stage(self, row: VmRow, enrolled: bool) -> None:
+    def _update_stage(self, row: VmRow, enrolled: bool) -> None:
         if row.stage is VmStage.LOST or not row.reconciled or not enrolled:
             return
         stage = VmStage.DRAINING if self._state.leaving(row) else VmStage.USABLE
@@ -117,15 +117,15 @@
             self._state.meter.count("vm_stage", stage.value)
             self._state.reindex(row)
         if stage is VmStage.DRAINING:
-            self._move_away(row)
+            self._evacuate(row)
 
-    def _move_away(self, row: VmRow) -> None:
-        """Move what can be moved without losing work; all else finishes where it is."""
+    def _evacuate(self, row: VmRow) -> None:
+        """Evacuate the runs that can move without losing work; the others finish on the VM."""
         for name in row.runs:
             run = self._state.runs[name]
             if run.stage is not RunStage.RUNNING or name in row.commands:
                 continue
-            kind = _way_out(run)
+            kind = _evacuation_command(run)
             if kind is not None:
                 row.commands[name] = kind
                 row.urgent_poll = True
@@ -140,9 +140,9 @@
         if state.now < held.lapse_at:
             return
         dismiss = records.Dismiss(row.vm, row.shard, held.epoch)
-        self._journal.write(dismiss, lambda *_: self._forget(row), state.now + ENROL_DEADLINE)
+        self._journal.write(dismiss, lambda *_: self._remove(row), state.now + ENROLMENT_TIMEOUT_S)
 
-    def _forget(self, row: VmRow) -> None:
+    def _remove(self, row: VmRow) -> None:
         state = self._state
         if row.vm in state.ledger.vms[row.shard]:
             return
@@ -154,7 +154,7 @@
         state.shard_vms[row.shard].pop(row.vm, None)
 
     def doubt_all(self) -> None:
-        """Give no VM new work until it is heard again: this process itself has been paused."""
+        """Withhold new work from all VMs until their next report, after a pause of this process."""
         for shard in self._state.held:
             for row in self._state.shard_vms[shard].values():
                 row.missed = max(1, row.missed)
@@ -164,25 +164,26 @@
     # -- Operators ---------------------------------------------------------------------------
 
     def drain(self, vm: str, drain: bool) -> None:
-        """Act on an operator's word at once, and tell the peers, while the log settles it."""
+        """Apply an operator's drain at once and notify the peers, before the log has settled it."""
         state = self._state
-        self._note(vm, drain)
+        self._set_drain_notice(vm, drain)
         for name in state.peer_names:
             if name != state.writer.name:
                 state.emit(SendPeer(name, DrainNotice(state.writer, vm, drain)))
 
     def received(self, notice: DrainNotice) -> None:
-        """Take a peer's notice of an operator's word."""
-        self._note(notice.vm, notice.drain)
+        """Apply a drain of which a peer has sent notice."""
+        self._set_drain_notice(notice.vm, notice.drain)
 
-    def _note(self, vm: str, drain: bool) -> None:
+    def _set_drain_notice(self, vm: str, drain: bool) -> None:
         self._state.drain_notices[vm] = drain
         row = self._state.vms.get(vm)
         if row is not None:
             self._state.reindex(row)
 
 
-def _way_out(run: RunRow) -> CommandKind | None:
+def _evacuation_command(run: RunRow) -> CommandKind | None:
+    """Return the command that moves a run off a draining VM, or ``None`` if it has to finish."""
     if not run.template.repeatable:
         return None
     if run.template.checkpointable:
