--- a/src/sablemount/core/systems/journal.py
+++ b/src/sablemount/core/systems/journal.py
@@ -1,8 +1,9 @@
 """Reading and writing the platform's log.
 
-Writing is a group commit: one batch is in flight at a time and carries all the records that wait,
-the most important first. A batch whose outcome is unknown is appended again, unchanged and under
-the same sequence number, until a copy of it is read back; the fold ignores every further copy.
+Writing is a group commit: one batch is in flight at a time and carries the queued records, those
+of the highest priority first. A batch whose outcome is unknown is appended again, unchanged and
+under the same sequence number, until a copy of it is read back; the ledger ignores all further
+copies.
 """
 
 import enum
@@ -24,7 +25,7 @@
 
 
 class Settlement(enum.Enum):
-    """What became of a record that this scheduler wrote."""
+    """The outcome of a record that this scheduler wrote."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -46,12 +47,13 @@
 )
 CONFIGURATION = (records.Publish, records.Drain, records.Enroll, records.Dismiss)
 INTENTS = (records.SpendKey, records.Intent, records.Finish, records.Cancel, records.Move)
-SMALL_RECORD = 600
-"""Assumed size of a record that is not a snapshot part, in bytes."""
-FOREVER = float("inf")
+ASSUMED_RECORD_BYTES = 600
+"""Assumed size of a record that is not a snapshot part."""
+NO_DEADLINE = float("inf")
 
 
 def _priority(body: Body) -> int:
+    """Return the rank of a record in the queue; lower ranks are written first."""
     if isinstance(body, OWNERSHIP):
         return 0
     if isinstance(body, CONFIGURATION):
@@ -62,7 +64,7 @@
 
 
 class _Pending:
-    """A record that waits to be written or read back."""
+    """A record that is to be written, or has been sent and is to be read back."""
 
     __slots__ = ("body", "nonce", "sequence", "settled")
 
@@ -74,12 +76,12 @@
 
     @property
     def sent(self) -> bool:
-        """Tell whether the record may be in the log."""
+        """Return whether the record may be in the log."""
         return self.sequence > 0
 
 
 class _InFlight:
-    """The one batch that is being appended."""
+    """The batch that is being appended; there is one at most."""
 
     __slots__ = ("nonces", "payload", "retry_at", "sending", "sequence", "uncertain")
 
@@ -93,15 +95,15 @@
 
 
 class Journal:
-    """Group commit of this scheduler's records, and the fold of everybody's."""
+    """Writes this scheduler's records by group commit, and applies those of all schedulers."""
 
     def __init__(self, state: State) -> None:
         self._state = state
         self.listeners: list[Callable[[Applied], None]] = []
         self.reset_listeners: list[Callable[[], None]] = []
         self._pending: dict[int, _Pending] = {}
-        # By kind and by deadline, so that a long queue in an outage costs nothing at each tick.
-        self._by_kind: dict[type, dict[int, _Pending]] = {}
+        # Indexed by type and by deadline, so that no tick has to scan the long queue of an outage.
+        self._by_type: dict[type, dict[int, _Pending]] = {}
         self._deadlines: list[tuple[float, int]] = []
         self._queue: list[tuple[int, int]] = []
         self._next_nonce = 1
@@ -119,28 +121,28 @@
     # -- Writing -----------------------------------------------------------------------------
 
     def write(
-        self, body: Body, settled: SettledCallback | None = None, deadline: float = FOREVER
+        self, body: Body, settled: SettledCallback | None = None, deadline: float = NO_DEADLINE
     ) -> bool:
-        """Queue a record; ``False`` tells that the queue is full and nothing was queued."""
+        """Queue a record; return ``False`` without queuing it if the queue is full."""
         if len(self._pending) >= self._state.settings.journal_limit:
             return False
         nonce = self._next_nonce
         self._next_nonce += 1
         item = _Pending(nonce, body, settled)
         self._pending[nonce] = item
-        self._by_kind.setdefault(type(body), {})[nonce] = item
-        if deadline != FOREVER:
+        self._by_type.setdefault(type(body), {})[nonce] = item
+        if deadline != NO_DEADLINE:
             heapq.heappush(self._deadlines, (deadline, nonce))
         heapq.heappush(self._queue, (_priority(body), nonce))
         return True
 
     def waiting(self, kind: type[BodyT]) -> list[BodyT]:
-        """Return the records of a kind that may still take effect or be written."""
-        return [item.body for item in self._by_kind.get(kind, {}).values()]  # type: ignore[misc]
+        """Return the records of a type that are queued or whose effect is not known yet."""
+        return [item.body for item in self._by_type.get(kind, {}).values()]  # type: ignore[misc]
 
     def withdraw(self, kind: type[BodyT], chosen: Callable[[BodyT], bool]) -> None:
-        """Give up the records of a kind that were not sent; others may take effect and stay."""
-        for nonce, item in list(self._by_kind.get(kind, {}).items()):
+        """Withdraw the chosen unsent records of a type; sent ones may still take effect."""
+        for nonce, item in list(self._by_type.get(kind, {}).items()):
             if not item.sent and chosen(item.body):  # type: ignore[arg-type]
                 self._remove(nonce)
                 self._settle(item, Settlement.NOT_WRITTEN)
@@ -148,34 +150,34 @@
     def _remove(self, nonce: int) -> _Pending | None:
         item = self._pending.pop(nonce, None)
         if item is not None:
-            del self._by_kind[type(item.body)][nonce]
+            del self._by_type[type(item.body)][nonce]
         return item
 
     def forget_all(self) -> None:
-        """Give up every record, as a new incarnation must."""
+        """Abandon all records: those of a previous incarnation are no longer valid."""
         pending = list(self._pending.values())
         self._pending.clear()
-        self._by_kind.clear()
+        self._by_type.clear()
         self._deadlines.clear()
         self._queue.clear()
-        # The count goes on: by its number alone a late answer is told from one to a later append.
+        # The sequence is not reset: it alone tells a late answer from the answer to a later append.
         self._in_flight = None
         for item in pending:
             self._settle(item, Settlement.UNKNOWN if item.sent else Settlement.NOT_WRITTEN)
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing waits to be written or read back."""
+        """Return whether no record is to be written or read back."""
         return not self._pending and self._in_flight is None
 
     @property
     def healthy(self) -> bool:
-        """Tell whether the log has answered lately."""
+        """Return whether the log has answered a read recently."""
         age = self._state.now - self._state.last_clean_read
         return age < 2 * self._state.settings.read_interval + self._state.settings.read_timeout
 
     def append_ended(self, event: AppendEnded) -> None:
-        """Take the outcome of an append."""
+        """Handle the outcome of an append."""
         batch = self._in_flight
         if batch is None or batch.sequence != event.sequence:
             return
@@ -192,7 +194,7 @@
             self._requeue(batch)
 
     def _requeue(self, batch: _InFlight) -> None:
-        """Take a batch apart that is certainly not in the log; its sequence is free again."""
+        """Requeue the records of a batch that is certainly not in the log; free its sequence."""
         self._in_flight = None
         self._sequence -= 1
         self._next_append = batch.retry_at
@@ -209,7 +211,7 @@
             if item is None:
                 continue
             if item.sent:
-                # It may still take effect, so it stays until it is read back.
+                # It may still take effect, so it is kept until it is read back.
                 self._settle(item, Settlement.UNKNOWN)
                 item.settled = None
             else:
@@ -230,7 +232,7 @@
             return
         if now < self._next_append or self._bootstrapping:
             return
-        taken = self._take()
+        taken = self._next_records()
         if not taken:
             return
         self._sequence += 1
@@ -242,12 +244,12 @@
         self._state.emit(AppendLog(self._sequence, payload))
 
     def _append_interval(self) -> float:
-        """Return the time between two appends that keeps all members within the log's budget."""
+        """Return the time between two appends that keeps all members together within the budget."""
         settings = self._state.settings
-        fair = len(self._state.ledger.members) / settings.append_budget
-        return max(settings.append_interval, fair)
+        fair_interval = len(self._state.ledger.members) / settings.append_budget
+        return max(settings.append_interval, fair_interval)
 
-    def _take(self) -> list[Record]:
+    def _next_records(self) -> list[Record]:
         settings = self._state.settings
         taken: list[Record] = []
         size = 0
@@ -256,7 +258,9 @@
             item = self._pending.get(nonce)
             if item is not None:
                 body = item.body
-                size += len(body.payload) if isinstance(body, SnapshotPart) else SMALL_RECORD
+                size += (
+                    len(body.payload) if isinstance(body, SnapshotPart) else ASSUMED_RECORD_BYTES
+                )
                 if taken and size > settings.append_bytes:
                     break
                 item.sequence = self._sequence + 1
@@ -267,7 +271,7 @@
     # -- Reading -----------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Expire, append and read as the time has come."""
+        """Expire records, append and read, each when it is due."""
         self._expire()
         self._append()
         if not self._reading and self._state.now >= self._next_read:
@@ -282,12 +286,12 @@
         return self._state.ledger.offset
 
     def read_failed(self) -> None:
-        """Take a read that brought no answer."""
+        """Handle a read that failed or timed out."""
         self._reading = False
         self._state.meter.count("log_reads", "failed")
 
     def read_ended(self, event: LogRead) -> None:
-        """Fold what a read brought."""
+        """Apply the entries that a read returned."""
         self._reading = False
         if self._read_again:
             self._next_read = 0.0
@@ -299,9 +303,9 @@
         else:
             for entry in event.entries:
                 self._fold(entry)
-        self._note_head(event)
+        self._update_head(event)
 
-    def _note_head(self, event: LogRead) -> None:
+    def _update_head(self, event: LogRead) -> None:
         if self._bootstrapping or self._state.ledger.offset < event.head:
             self._next_read = 0.0
             return
@@ -328,14 +332,14 @@
     # -- Bootstrap ---------------------------------------------------------------------------
 
     def _restart(self) -> None:
-        """Begin again from a snapshot: the log no longer holds what comes next."""
+        """Bootstrap again from a snapshot: the log no longer holds the next entry."""
         self._bootstrapping = True
         self._state.meter.count("log_restarts")
 
     def _bootstrap(self, event: LogRead) -> None:
         for entry in event.entries:
             self._buffer.append(entry)
-            self._look_for_snapshot(entry)
+            self._collect_snapshot(entry)
         if self._read_offset() < event.head:
             return
         current = self._state.ledger
@@ -346,7 +350,7 @@
         else:
             self._buffer = []
 
-    def _look_for_snapshot(self, entry: LogEntry) -> None:
+    def _collect_snapshot(self, entry: LogEntry) -> None:
         batch = records.decode_batch(entry.payload)
         for record in batch.records if batch else ():
             if isinstance(record.body, SnapshotPart):
@@ -365,7 +369,7 @@
             self._fold(entry)
 
     def adopt(self, image: LedgerImage) -> bool:
-        """Take a peer's ledger if it is further than this one; never an older one."""
+        """Install a peer's ledger if its offset is higher; return whether it was installed."""
         if image.offset <= self._state.ledger.offset:
             return False
         self._install(ledger_of(image))
@@ -375,19 +379,19 @@
     def _install(self, ledger: Ledger) -> None:
         self._state.ledger = ledger
         self._state.meter.count("ledger_installs")
-        self._settle_passed()
+        self._settle_covered()
         for listener in self.reset_listeners:
             listener()
 
-    def _settle_passed(self) -> None:
-        """Give up the records whose outcome the installed ledger has passed over."""
+    def _settle_covered(self) -> None:
+        """Settle as unknown the records whose outcome precedes the installed ledger."""
         name = self._state.writer.name
         if self._state.ledger.members.get(name) != self._state.writer:
             return
-        passed = self._state.ledger.sequences.get(name, 0)
-        if self._in_flight is not None and self._in_flight.sequence <= passed:
+        applied_sequence = self._state.ledger.sequences.get(name, 0)
+        if self._in_flight is not None and self._in_flight.sequence <= applied_sequence:
             self._in_flight = None
         for item in list(self._pending.values()):
-            if 0 < item.sequence <= passed:
+            if 0 < item.sequence <= applied_sequence:
                 self._remove(item.nonce)
                 self._settle(item, Settlement.UNKNOWN)
--- a/src/sablemount/core/systems/limits.py
+++ b/src/sablemount/core/systems/limits.py
@@ -1,4 +1,4 @@
-"""Limits on requests: per organisation, on retries, and on failing upstreams."""
+"""Limits on requests: rate and concurrency, retry budget, and ejection of failing VMs."""
 
 from sablemount.core.documents import OrganisationDocument
 from sablemount.core.state import State
@@ -7,26 +7,28 @@
 
 __all__ = ["Ejection", "OrganisationLimits", "RetryBudget"]
 
-BURST_SECONDS = 1.0
-"""How much of a rate may be used at once, in seconds of it."""
-BUDGET_CAP = 100.0
-"""Retries that may be saved up."""
-EJECTING = frozenset({Reason.UPSTREAM_UNREACHABLE, Reason.UPSTREAM_CUT_SHORT, Reason.DEADLINE})
+BURST_S = 1.0
+"""Size of the token bucket, as the time in which the rate fills it."""
+MAX_SAVED_RETRIES = 100.0
+"""Upper bound of the retry budget."""
+EJECTING_REASONS = frozenset(
+    {Reason.UPSTREAM_UNREACHABLE, Reason.UPSTREAM_CUT_SHORT, Reason.DEADLINE}
+)
 
 
 class OrganisationLimits:
-    """Rate and concurrency of each organisation at this scheduler."""
+    """Limits each organisation's rate and concurrency at this scheduler."""
 
     def __init__(self) -> None:
         self._tokens: dict[str, float] = {}
         self._filled_at: dict[str, float] = {}
-        self._running: dict[str, int] = {}
+        self._in_flight: dict[str, int] = {}
 
     def check(self, document: OrganisationDocument, now: float) -> Failure | None:
-        """Return why a request may not enter, and take a token if it may."""
+        """Return why a request is refused, or take a token and return ``None``."""
         name = document.organisation
         limit = document.concurrency
-        if limit is not None and self._running.get(name, 0) >= limit:
+        if limit is not None and self._in_flight.get(name, 0) >= limit:
             detail = f"{name} has {limit} requests in flight"
             return Failure(Verdict.NOT_RUN, Reason.RATE_LIMIT, detail, 0.1)
         rate = document.requests_per_second
@@ -40,35 +42,35 @@
         return None
 
     def _refill(self, name: str, rate: float, now: float) -> float:
-        burst = max(1.0, rate * BURST_SECONDS)
-        passed = now - self._filled_at.get(name, now - BURST_SECONDS)
-        tokens = min(burst, self._tokens.get(name, burst) + passed * rate)
+        burst = max(1.0, rate * BURST_S)
+        elapsed = now - self._filled_at.get(name, now - BURST_S)
+        tokens = min(burst, self._tokens.get(name, burst) + elapsed * rate)
         self._tokens[name] = tokens
         self._filled_at[name] = now
         return tokens
 
     def entered(self, organisation: str) -> None:
-        """Count a request in."""
-        self._running[organisation] = self._running.get(organisation, 0) + 1
+        """Count a request as in flight."""
+        self._in_flight[organisation] = self._in_flight.get(organisation, 0) + 1
 
     def left(self, organisation: str) -> None:
-        """Count a request out."""
-        self._running[organisation] -= 1
+        """Count a request as no longer in flight."""
+        self._in_flight[organisation] -= 1
 
 
 class RetryBudget:
-    """Retries as a share of requests, shared by the whole process."""
+    """A budget of retries, a fixed share of the requests, for the whole process."""
 
     def __init__(self, share: float) -> None:
         self._share = share
-        self._saved = BUDGET_CAP / 10
+        self._saved = MAX_SAVED_RETRIES / 10
 
     def earned(self) -> None:
-        """Book a new request."""
-        self._saved = min(BUDGET_CAP, self._saved + self._share)
+        """Add a new request's share to the budget."""
+        self._saved = min(MAX_SAVED_RETRIES, self._saved + self._share)
 
     def take(self) -> bool:
-        """Take one retry, if there is one."""
+        """Take one retry from the budget; return whether there was one."""
         if self._saved < 1.0:
             return False
         self._saved -= 1.0
@@ -76,17 +78,17 @@
 
 
 class Ejection:
-    """Keeps requests away from VMs that fail them, for a share of the VMs at most."""
+    """Ejects VMs that fail requests for a while, up to a share of all VMs."""
 
     def __init__(self, state: State) -> None:
         self._state = state
         self._ejected: dict[str, float] = {}
 
     def note(self, row: VmRow, failure: Failure | None) -> None:
-        """Take the outcome of an attempt at a VM."""
+        """Record the outcome of an attempt on a VM."""
         if failure is None:
             row.errors = 0
-        elif failure.reason in EJECTING:
+        elif failure.reason in EJECTING_REASONS:
             row.errors += 1
             if row.errors >= self._state.settings.eject_after and self._may_eject(row):
                 self._eject(row)
@@ -100,12 +102,12 @@
         settings = self._state.settings
         row.ejected_until = self._state.now + settings.eject_seconds
         self._ejected[row.vm] = row.ejected_until
-        # The next failure after the pause ejects it again; one success clears it.
+        # The next failure after the ejection ejects it again; one success resets the count.
         row.errors = settings.eject_after - 1
         self._state.meter.count("ejections")
 
     def run(self) -> None:
-        """Let back in the VMs whose time is over; their next request is the probe."""
+        """Readmit the VMs whose ejection has ended; their next request serves as a probe."""
         now = self._state.now
         for vm in [vm for vm, until in self._ejected.items() if until <= now]:
             del self._ejected[vm]
