--- a/src/sablemount/core/systems/membership.py
+++ b/src/sablemount/core/systems/membership.py
@@ -1,9 +1,10 @@
-"""Membership: who is a member by the ledger, and who is heard of.
+"""Membership: the members by the ledger, and their liveness.
 
-Members join and leave through the log. Between themselves they gossip heartbeats to a fixed number
-of peers a round, so traffic per node does not grow with the number of nodes. A record in the log
-is a sign of life too, and whoever misses a peer gives one. Silence in both makes a member suspect;
-only the log puts it out, and then its records count no more.
+Members join and leave through the log. They gossip heartbeats to a fixed number of peers per
+round, so that the traffic per node does not grow with the number of nodes. A record in the log
+counts as a heartbeat too, and a member that misses a peer's heartbeats writes one. A member is
+suspected when neither shows it alive. Only a record in the log evicts a member; its later records
+are then ignored.
 """
 
 from sablemount.core import records
@@ -20,19 +21,19 @@
 __all__ = ["Membership"]
 
 MAX_BEATS = 32
-"""Heartbeats in one message at most."""
-SIGN_SHARE = 0.75
-"""Share of ``suspect_after`` for which a peer may be silent before a sign of life is written."""
-FORGET_AFTER = 60.0
-"""How long one that is no member any more is remembered, in seconds."""
+"""Maximum number of heartbeats per gossip message."""
+LOG_HEARTBEAT_SHARE = 0.75
+"""Share of ``suspect_after`` without gossip from a peer after which a heartbeat is logged."""
+FORMER_MEMBER_RETENTION_S = 60.0
+"""Time after which the row of a silent peer that is not a member is removed."""
 CATCH_UP_LAG = 1
-"""How many entries behind a peer a scheduler may be before it asks for the ledger."""
-CATCH_UP_INTERVAL = 2.0
-"""Least time between two such questions, in seconds."""
+"""Lag behind a peer, in log entries, from which a scheduler asks for the peer's ledger."""
+CATCH_UP_INTERVAL_S = 2.0
+"""Minimum time between two such requests."""
 
 
 class Membership:
-    """Joins, gossips, suspects and puts out."""
+    """Joins the cell, gossips heartbeats, and suspects and evicts members."""
 
     def __init__(self, state: State, journal: Journal) -> None:
         self._state = state
@@ -40,7 +41,7 @@
         self._beat = 0
         self._next_gossip = 0.0
         self._next_catch_up = 0.0
-        self._next_sign = 0.0
+        self._next_log_heartbeat = 0.0
         self._last_run = state.now
         self._joining = False
         journal.listeners.append(self._applied)
@@ -49,7 +50,7 @@
 
     @property
     def joined(self) -> bool:
-        """Tell whether this incarnation is a member."""
+        """Return whether this incarnation is a member."""
         return self._state.ledger.members.get(self._state.writer.name) == self._state.writer
 
     def _applied(self, applied: Applied) -> None:
@@ -61,27 +62,27 @@
             self._state.joined_at = self._state.now
             self._joining = False
         elif isinstance(body, records.Evict) and body.member == self._state.writer:
-            self._put_out()
+            self._evicted()
 
     def _heard_in_log(self, writer: Writer) -> None:
-        """Count a record as a sign of life: a member may be cut off from its peers alone."""
+        """Count a record as a heartbeat: its writer may be cut off from its peers only."""
         peer = self._state.peers.get(writer.name)
         if peer is not None and peer.incarnation == writer.incarnation:
             peer.heard_at = self._state.now
 
-    def _show_life(self) -> None:
-        """Write to the log while a member is not heard of, since it may not hear this one."""
+    def _log_heartbeat(self) -> None:
+        """Log a heartbeat while a peer's gossip is missing, since it may miss ours as well."""
         state = self._state
-        if not self.joined or state.now < self._next_sign or not self._journal.healthy:
+        if not self.joined or state.now < self._next_log_heartbeat or not self._journal.healthy:
             return
-        interval = SIGN_SHARE * state.settings.suspect_after
+        interval = LOG_HEARTBEAT_SHARE * state.settings.suspect_after
         peers = (state.peers.get(name) for name in state.ledger.members)
         if any(peer is not None and state.now - peer.gossiped_at > interval for peer in peers):
-            self._next_sign = state.now + interval
+            self._next_log_heartbeat = state.now + interval
             self._journal.write(records.Seen(), None, state.now + interval)
 
-    def _put_out(self) -> None:
-        """Become a new incarnation: the old one's records count no more."""
+    def _evicted(self) -> None:
+        """Start a new incarnation after an eviction; records of the old one are ignored."""
         state = self._state
         state.meter.count("evicted")
         state.writer = Writer(state.writer.name, state.writer.incarnation + 1)
@@ -101,7 +102,7 @@
     # -- Liveness ----------------------------------------------------------------------------
 
     def alive(self, member: Writer) -> bool:
-        """Tell whether a member was heard of lately."""
+        """Return whether a member's last heartbeat is recent."""
         state = self._state
         if member == state.writer:
             return True
@@ -111,7 +112,7 @@
         return state.now - peer.heard_at < state.settings.suspect_after
 
     def live_members(self) -> list[Writer]:
-        """Return the members that are heard of and are not about to leave, by name."""
+        """Return the members that are alive and not stopping, sorted by name."""
         state = self._state
         found = []
         for name in sorted(state.ledger.members):
@@ -123,19 +124,19 @@
         return found
 
     def run(self) -> None:
-        """Join, gossip, and put out whoever has been silent for long."""
-        self._forgive_after_pause()
+        """Join, gossip, and evict the members whose heartbeats have been missing for too long."""
+        self._reset_after_pause()
         self._join()
-        self._note_members()
-        self._forget_departed()
+        self._add_members()
+        self._remove_former_members()
         if self._state.now >= self._next_gossip:
             self._next_gossip = self._state.now + self._state.settings.gossip_interval
             self._gossip()
         self._evict()
-        self._show_life()
+        self._log_heartbeat()
 
-    def _forgive_after_pause(self) -> None:
-        """Start everybody's silence anew if this process itself did not run for a while."""
+    def _reset_after_pause(self) -> None:
+        """Restart the liveness timers of all peers if this process itself has been paused."""
         state = self._state
         gap = state.now - self._last_run
         self._last_run = state.now
@@ -145,8 +146,8 @@
                 peer.heard_at = state.now
                 peer.gossiped_at = state.now
 
-    def _note_members(self) -> None:
-        """Begin to count the silence of members that were never heard of."""
+    def _add_members(self) -> None:
+        """Start the liveness timers of members that have sent no heartbeat yet."""
         state = self._state
         for member in state.ledger.members.values():
             peer = state.peers.get(member.name)
@@ -156,9 +157,9 @@
                 row = PeerRow(member.name, member.incarnation, state.now)
                 state.peers[member.name] = row
 
-    def _forget_departed(self) -> None:
+    def _remove_former_members(self) -> None:
         state = self._state
-        oldest = state.now - FORGET_AFTER
+        oldest = state.now - FORMER_MEMBER_RETENTION_S
         for name in [name for name, peer in state.peers.items() if peer.heard_at < oldest]:
             if name not in state.ledger.members:
                 del state.peers[name]
@@ -199,21 +200,21 @@
         if not fanout:
             return
         beats = [self._own_beat()]
-        heard = [peer for peer in state.peers.values() if peer.beat >= 0]
-        if len(heard) >= MAX_BEATS:
-            heard = state.rng.sample(heard, MAX_BEATS - 1)
-        beats.extend(_beat_of(peer) for peer in heard)
+        known = [peer for peer in state.peers.values() if peer.beat >= 0]
+        if len(known) >= MAX_BEATS:
+            known = state.rng.sample(known, MAX_BEATS - 1)
+        beats.extend(_beat_of(peer) for peer in known)
         message = Gossip(state.writer, tuple(beats))
         for name in state.rng.sample(names, fanout):
             state.emit(SendPeer(name, message))
 
     def received(self, message: PeerMessage) -> None:
-        """Take a gossip or catch-up message."""
+        """Handle a gossip or catch-up message."""
         if isinstance(message, Gossip):
             for beat in message.beats:
                 self._merge(beat, message.sender)
         elif isinstance(message, CatchUp):
-            self._catch_up(message)
+            self._send_ledger(message)
         elif isinstance(message, CatchUpReply):
             self._journal.adopt(unpack_image(message.image))
 
@@ -222,7 +223,7 @@
         if beat.member.name == state.writer.name:
             return
         if beat.member.name not in state.ledger.members and beat.member != sender:
-            # Hearsay of one that is no member would go round for ever.
+            # Relayed heartbeats of a non-member would circulate for ever.
             return
         peer = state.peers.get(beat.member.name)
         if peer is None or peer.incarnation < beat.member.incarnation:
@@ -238,20 +239,20 @@
         peer.free_cores = beat.free_cores
         peer.free_accelerators = beat.free_accelerators
         peer.stopping = beat.stopping
-        self._ask_to_catch_up(peer)
+        self._request_ledger(peer)
 
     # -- The ledger from peers ---------------------------------------------------------------
 
-    def _ask_to_catch_up(self, peer: PeerRow) -> None:
-        """Ask a peer that is further for its ledger while the log does not answer."""
+    def _request_ledger(self, peer: PeerRow) -> None:
+        """Request the ledger of a peer that is ahead, while the log does not answer."""
         state = self._state
         behind = peer.offset - state.ledger.offset
         if behind < CATCH_UP_LAG or self._journal.healthy or state.now < self._next_catch_up:
             return
-        self._next_catch_up = state.now + CATCH_UP_INTERVAL
+        self._next_catch_up = state.now + CATCH_UP_INTERVAL_S
         state.emit(SendPeer(peer.name, CatchUp(state.writer, state.ledger.offset)))
 
-    def _catch_up(self, message: CatchUp) -> None:
+    def _send_ledger(self, message: CatchUp) -> None:
         state = self._state
         if state.ledger.offset <= message.offset:
             return
