--- a/src/sablemount/core/systems/ownership.py
+++ b/src/sablemount/core/systems/ownership.py
@@ -1,18 +1,19 @@
-"""Ownership of shards: claims in the log, leases by reading it.
+"""Ownership of shards: claims in the log, and leases that are renewed by reading it.
 
 An owner may act until ``claim_delay`` after it *sent* the last read of the log's head that showed
-no claim against it. A claimant may act only when ``claim_delay`` and ``settle`` have passed since
-it read its own claim back. So two owners never act at once, whatever their clocks say, as long as
-their rates differ by less than ``drift``. A planned hand-over is a release and needs no delay.
-
-While the log does not answer, an owner goes on if every other member that it knows of promises
-to append no claim against it for a time, and never longer than ``hold_limit`` after its last
-read. A member appends no claim against an owner that may not know of it: the log must show that
-the owner has read the member's Join, or ``hold_limit`` must have passed since.
-
-A claim against an owner that asks for a promise was made on a false suspicion. If it was not sent
-it is withdrawn; if it may be in the log the promise is given all the same, and the claimant acts
-on what it has claimed only once its promises are over.
+no claim against it. A claimant may act only once ``claim_delay`` and ``settle`` have passed since
+it read its own claim back. Two owners thus never act at the same time, whatever the offset between
+their clocks, provided that the clocks' rates differ by less than ``drift``. A planned handover is
+a release in the log and needs no delay.
+
+While the log does not answer, an owner's lease is extended if every other known member promises
+to append no claim against it for a time, but never beyond ``hold_limit`` after the owner's last
+read. A member appends no claim against an owner that may not know the member: either the log shows
+that the owner has read the member's Join, or ``hold_limit`` has passed since that Join.
+
+A claim against an owner that asks for a promise was caused by a false suspicion. If it has not
+been sent, it is withdrawn. If it may be in the log, the promise is given nevertheless, and the
+claimant uses the claimed shards only after its promises have expired.
 """
 
 import zlib
@@ -29,17 +30,17 @@
 
 __all__ = ["Ownership", "assign_shards"]
 
-CLAIM_DEADLINE = 5.0
-"""How long a claim or release waits to be written before it is considered anew, in seconds."""
-PROMISE_INTERVAL = 1.0
-"""Least time between two rounds of promises, in seconds."""
+CLAIM_TIMEOUT_S = 5.0
+"""Time after which an unwritten claim or release is withdrawn and decided again."""
+PROMISE_INTERVAL_S = 1.0
+"""Minimum time between two rounds of requests for promises."""
 
 
 def assign_shards(shard_count: int, members: list[Writer]) -> dict[int, Writer]:
-    """Return who should own each shard: rendezvous hashing with an even cap.
+    """Return the member that should own each shard, by rendezvous hashing with an even cap.
 
-    Every scheduler computes the same from the same members, and a change of one member moves few
-    shards of the others.
+    Every scheduler computes the same assignment from the same members, and a change of one member
+    moves few shards of the others.
     """
     if not members:
         return {}
@@ -59,7 +60,7 @@
 
 
 class Ownership:
-    """Claims, holds and hands over shards."""
+    """Claims, holds and releases shards."""
 
     def __init__(self, state: State, journal: Journal, membership: Membership) -> None:
         self._state = state
@@ -72,10 +73,10 @@
         self._targets: dict[int, Writer] = {}
         journal.reset_listeners.append(self.sync)
 
-    # -- What the ledger says ----------------------------------------------------------------
+    # -- Shards held according to the ledger -------------------------------------------------
 
     def sync(self) -> None:
-        """Bring what is held to what the ledger says."""
+        """Update the held shards to those that the ledger assigns to this scheduler."""
         state = self._state
         for row in state.ledger.shards:
             held = state.held.get(row.shard)
@@ -83,19 +84,19 @@
                 if held is not None:
                     self._drop(row.shard)
             elif held is None or held.epoch != row.epoch:
-                self._take(row.shard, row.epoch, row.planned)
+                self._hold(row.shard, row.epoch, row.planned)
 
-    def _take(self, shard: int, epoch: int, planned: bool) -> None:
+    def _hold(self, shard: int, epoch: int, planned: bool) -> None:
         state = self._state
         settings = state.settings
-        stretch = 1 + settings.drift
-        # A former owner may act on a promise of this scheduler as if it had read at its end.
+        drift_factor = 1 + settings.drift
+        # A promise counts as a read of the log by the previous owner at the promise's end.
         since = state.now if planned else max([state.now, *self._promised.values()])
-        delay = 0.0 if planned else settings.claim_delay * stretch + settings.settle
+        delay = 0.0 if planned else settings.claim_delay * drift_factor + settings.settle
         active_at = since + delay
-        # A former owner renews runs until its lease and the grace are over.
-        renewed = settings.claim_delay + settings.renew_grace + settings.run_lease
-        lapse_at = since + renewed * stretch + settings.settle
+        # The previous owner may renew runs until its lease and the grace period have ended.
+        longest_lease_s = settings.claim_delay + settings.renew_grace + settings.run_lease
+        lapse_at = since + longest_lease_s * drift_factor + settings.settle
         self._drop(shard)
         state.held[shard] = HeldShard(shard, epoch, active_at, lapse_at)
         state.meter.count("shards_taken", "planned" if planned else "claimed")
@@ -116,13 +117,13 @@
     # -- The lease ---------------------------------------------------------------------------
 
     def renew(self) -> None:
-        """Bring the limit up to date until which this scheduler may act."""
+        """Recompute the time until which this scheduler may act as owner."""
         state = self._state
         settings = state.settings
-        by_reading = state.last_clean_read + settings.claim_delay * (1 - settings.drift)
-        state.lease_until = max(by_reading, self._held_until())
+        by_reads = state.last_clean_read + settings.claim_delay * (1 - settings.drift)
+        state.lease_until = max(by_reads, self._promised_lease_end())
 
-    def _held_until(self) -> float:
+    def _promised_lease_end(self) -> float:
         state = self._state
         limit = state.last_clean_read + state.settings.hold_limit * (1 - state.settings.drift)
         for member in state.ledger.members.values():
@@ -134,14 +135,14 @@
             limit = min(limit, peer.promised_until)
         return limit
 
-    def _ask_promises(self) -> None:
-        """Ask every other member for a promise while the log does not answer."""
+    def _request_promises(self) -> None:
+        """Request a promise from every other member while the log does not answer."""
         state = self._state
         age = state.now - state.last_clean_read
         due = age > 3 * state.settings.read_interval and state.now >= self._next_promises
         if not due or not state.held:
             return
-        self._next_promises = state.now + PROMISE_INTERVAL
+        self._next_promises = state.now + PROMISE_INTERVAL_S
         shards = tuple(ShardEpoch(held.shard, held.epoch) for held in state.held.values())
         request = HoldRequest(state.writer, state.now, state.settings.promise, shards)
         for member in state.ledger.members.values():
@@ -149,7 +150,7 @@
                 state.emit(SendPeer(member.name, request))
 
     def received(self, message: PeerMessage) -> None:
-        """Take a request for a promise, or a promise."""
+        """Handle a request for a promise, or a promise."""
         if isinstance(message, HoldRequest):
             self._promise(message)
         elif isinstance(message, HoldPromise):
@@ -173,12 +174,12 @@
         state.emit(SendPeer(request.sender.name, reply))
 
     def _claimed_since(self, request: HoldRequest) -> bool:
-        """Tell whether the log shows a claim that the owner has not read."""
+        """Return whether the log holds a claim that the requesting owner has not read."""
         rows = self._state.ledger.shards
         return any(rows[shard.shard].epoch > shard.epoch for shard in request.shards)
 
-    def _bound(self, owner: Writer) -> bool:
-        """Tell whether this scheduler may append no claim against an owner now."""
+    def _must_not_claim(self, owner: Writer) -> bool:
+        """Return whether this scheduler must not append a claim against an owner now."""
         state = self._state
         if self._promised.get(str(owner), 0.0) > state.now:
             return True
@@ -187,9 +188,10 @@
         return state.now < state.joined_at + state.settings.hold_limit * (1 + state.settings.drift)
 
     def _claimant(self, shard: int, owner: Writer) -> Writer | None:
-        """Return who should claim a shard of an owner that is gone.
+        """Return the member that should claim a shard of a lost owner.
 
-        Only a member that the owner knew asks nobody's leave, so such a one goes first.
+        A member that the owner knew may claim at once, without waiting for ``hold_limit``, so
+        such members take precedence.
         """
         live = self._membership.live_members()
         known = [member for member in live if self._state.ledger.knows(owner, member)]
@@ -200,9 +202,9 @@
     # -- Claims and releases -----------------------------------------------------------------
 
     def run(self) -> None:
-        """Follow the ledger, renew the lease, and move shards to where they belong."""
+        """Apply the ledger, renew the lease, activate shards, and claim or release shards."""
         self.sync()
-        self._ask_promises()
+        self._request_promises()
         self.renew()
         self._activate()
         if self._membership.joined and self._journal.healthy:
@@ -210,23 +212,23 @@
             self._move_shards()
 
     def _acknowledge_members(self) -> None:
-        """Let the log show that this owner knows every member, so that each may take over."""
+        """Log that this owner knows all members, which allows each of them to take over."""
         state = self._state
         if not state.held or self._journal.waiting(records.Seen):
             return
         members = state.ledger.members.values()
         if not all(state.ledger.knows(state.writer, member) for member in members):
-            self._journal.write(records.Seen(), None, state.now + CLAIM_DEADLINE)
+            self._journal.write(records.Seen(), None, state.now + CLAIM_TIMEOUT_S)
 
     def _activate(self) -> None:
         state = self._state
         for held in state.held.values():
             if held.state is HoldState.WAITING and state.now >= held.active_at and state.leased():
-                self._turn(held, HoldState.ACTIVE)
+                self._set_state(held, HoldState.ACTIVE)
                 state.free.setdefault(held.shard, FreeIndex())
                 state.meter.count("shards_activated")
 
-    def _turn(self, held: HeldShard, to: HoldState) -> None:
+    def _set_state(self, held: HeldShard, to: HoldState) -> None:
         held.state = to
         for row in self._state.shard_vms[held.shard].values():
             self._state.reindex(row)
@@ -246,27 +248,27 @@
             if row.owner == state.writer:
                 self._consider_release(row.shard, target)
             elif row.owner is not None:
-                self._consider_take_over(row.shard, row.epoch, row.owner)
+                self._consider_takeover(row.shard, row.epoch, row.owner)
             elif target == state.writer:
                 self._claim(row.shard, row.epoch)
 
-    def _consider_take_over(self, shard: int, epoch: int, owner: Writer) -> None:
+    def _consider_takeover(self, shard: int, epoch: int, owner: Writer) -> None:
         member = self._state.ledger.members.get(owner.name) == owner
         if member and self._membership.alive(owner):
             return
-        if self._claimant(shard, owner) == self._state.writer and not self._bound(owner):
+        if self._claimant(shard, owner) == self._state.writer and not self._must_not_claim(owner):
             self._claim(shard, epoch)
 
     def _claim(self, shard: int, epoch: int) -> None:
         state = self._state
-        self._journal.write(records.Claim(shard, epoch), None, state.now + CLAIM_DEADLINE)
+        self._journal.write(records.Claim(shard, epoch), None, state.now + CLAIM_TIMEOUT_S)
 
     def _consider_release(self, shard: int, target: Writer | None) -> None:
         state = self._state
         held = state.held.get(shard)
         if held is None or target == state.writer:
             if held is not None and held.state is HoldState.RELEASING:
-                self._turn(held, HoldState.ACTIVE)
+                self._set_state(held, HoldState.ACTIVE)
                 self._releasing_since.pop(shard, None)
             return
         if target is None and not state.stopping:
@@ -274,12 +276,12 @@
         if held.state is HoldState.WAITING:
             return
         if held.state is HoldState.ACTIVE:
-            self._turn(held, HoldState.RELEASING)
+            self._set_state(held, HoldState.RELEASING)
         since = self._releasing_since.setdefault(shard, state.now)
         if state.now - since < state.settings.settle or self._start_in_flight(shard):
             return
         release = records.Release(shard, held.epoch, target)
-        self._journal.write(release, None, state.now + CLAIM_DEADLINE)
+        self._journal.write(release, None, state.now + CLAIM_TIMEOUT_S)
 
     def _start_in_flight(self, shard: int) -> bool:
         state = self._state
