--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -86,22 +86,22 @@
 def _time_placements(solo: Solo, placements: int) -> tuple[float, float, float]:
     """Time each decision, from the turn of a task to the start action."""
     times: list[float] = []
-    take_turn = Placement._take_turn
+    place_from_group = Placement._place_from_group
 
     def timed(self: Placement, level: int, organisation: str) -> bool:
         begun = time.perf_counter()
-        placed = take_turn(self, level, organisation)
+        placed = place_from_group(self, level, organisation)
         if placed:
             times.append(time.perf_counter() - begun)
         return placed
 
-    Placement._take_turn = timed  # type: ignore[method-assign]
+    Placement._place_from_group = timed  # type: ignore[method-assign]
     try:
         for index in range(3):
             solo.submit(f"org/t{index}", f"timed-{index}", placements // 3)
         solo.run(2.0)
     finally:
-        Placement._take_turn = take_turn  # type: ignore[method-assign]
+        Placement._place_from_group = place_from_group  # type: ignore[method-assign]
     p50, p99 = numpy.percentile(times, [50, 99]) * 1e6
     return len(times) / sum(times), float(p50), float(p99)
 
--- a/src/sablemount/core/systems/placement.py
+++ b/src/sablemount/core/systems/placement.py
@@ -1,7 +1,7 @@
-"""Placement: which waiting task starts on which VM.
+"""Placement: decides which waiting task starts on which VM.
 
-The cost of a decision does not grow with the number of VMs: a few candidates come from an index
-over free capacity, and only those are scored.
+The cost of a decision does not grow with the number of VMs: an index over free capacity yields a
+few candidates, and only those are scored.
 """
 
 from sablemount.core import records
@@ -17,21 +17,21 @@
 __all__ = ["Placement"]
 
 LOOK_AHEAD = 4
-"""How many tasks of one group are tried at its turn when the first does not fit."""
-MOVE_INTERVAL = 1.0
-"""Least time between two moves of one task to another shard, in seconds."""
-SAMPLE = 64
-"""How many VMs of other shards are looked at for one that could hold a task."""
-SPREAD_PENALTY = 1.0
-"""What one replica of the same job in the same rack costs in a score."""
-TURN_PENALTY = 2.0
-"""What being outside the hall whose turn it is costs a spread replica in a score."""
-HALL_PENALTY = 4.0
-"""What being outside the preferred halls costs in a score."""
+"""Maximum number of tasks of a group that are tried at its turn if the first does not fit."""
+MOVE_INTERVAL_S = 1.0
+"""Mean time between two attempts to move a task to another shard."""
+MAX_SAMPLED_VMS = 64
+"""Maximum number of VMs examined for one in another shard that could hold a task."""
+SAME_RACK_PENALTY = 1.0
+"""Cost in a VM's score per replica of the same job in the VM's rack."""
+OTHER_HALL_PENALTY = 2.0
+"""Cost in a VM's score for a spread replica that is due in another hall."""
+UNPREFERRED_HALL_PENALTY = 4.0
+"""Cost in a VM's score if its hall is not among the preferred ones."""
 
 
 class Placement:
-    """Places waiting tasks on VMs of the own shards."""
+    """Places waiting tasks on VMs of this scheduler's shards."""
 
     def __init__(self, state: State, journal: Journal) -> None:
         self._state = state
@@ -39,21 +39,21 @@
         self.queue = WaitQueue()
         self.short_of_quota: dict[tuple[str, int], Shape] = {}
         self._blocked: dict[tuple[int, Group], tuple[int, int, str]] = {}
-        self._counter = 0
+        self._last_run_number = 0
 
     def enqueue(self, row: TaskRow, new: bool = False) -> None:
-        """Let a task wait for a VM; ``new`` tells that it certainly never started."""
+        """Queue a task for a VM; ``new`` means that it has certainly never started."""
         self.queue.add(row, self._state.now, new)
 
     def rebind(self) -> None:
-        """Go on with the rows of another ledger."""
+        """Replace the queued rows by those of a newly installed ledger."""
         self.queue.rebind(self._state.ledger.tasks)
         self._blocked.clear()
 
     # -- Turns -------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Place what can be placed, the best-paid level first."""
+        """Place as many tasks as possible, the highest priority level first."""
         self.short_of_quota.clear()
         if not self._state.leased():
             return
@@ -66,7 +66,7 @@
         turns = self.queue.turns(level)
         group = next(turns, None)
         while group is not None and budget > 0:
-            again = self._take_turn(level, group)
+            again = self._place_from_group(level, group)
             budget -= again
             try:
                 group = turns.send(again)
@@ -74,12 +74,12 @@
                 break
         return budget
 
-    def _take_turn(self, level: int, group: Group) -> bool:
-        """Place one task of a group; tell whether one was placed or taken out."""
+    def _place_from_group(self, level: int, group: Group) -> bool:
+        """Place one task of a group; return whether one was placed or removed."""
         items = self.queue.head(level, group, LOOK_AHEAD)
-        # What did not fit is tried again when capacity is freed, and once a second for a move.
-        mark = (self._state.freed[group.shard], int(self._state.now), items[0].row.task)
-        if self._blocked.get((level, group)) == mark:
+        # A blocked group is retried when capacity is freed, and each second for a possible move.
+        attempt_key = (self._state.freed[group.shard], int(self._state.now), items[0].row.task)
+        if self._blocked.get((level, group)) == attempt_key:
             return False
         tried: set[Shape] = set()
         for item in items:
@@ -93,11 +93,11 @@
             tried.add(shape)
             if self._place(item):
                 return True
-        self._blocked[level, group] = mark
+        self._blocked[level, group] = attempt_key
         return False
 
     def _eligible(self, item: WaitingTask) -> bool:
-        """Tell whether a task may be placed now; one that is not ours any more is taken out."""
+        """Return whether a task may be placed now; remove it if it is no longer waiting here."""
         state = self._state
         row = item.row
         held = state.held.get(row.shard)
@@ -108,14 +108,14 @@
             self.queue.remove(row.task)
             self._finish_cancelled(item, held)
             return False
-        # In a shard that was taken and is not open yet, only what never started may be placed.
+        # Until a taken shard is open, only tasks that have never started may be placed in it.
         known = held.opened or item.new
         return known and held.state is HoldState.ACTIVE and not item.moving
 
     def _finish_cancelled(self, item: WaitingTask, held: HeldShard) -> None:
         row = item.row
         if not row.service:
-            # Only one that has waited here ever since it was accepted certainly never started.
+            # Only a task that has waited here since it was accepted has certainly never started.
             verdict = Verdict.NOT_RUN if item.new else Verdict.MAY_HAVE_RUN
             self._journal.write(records.Finish(row.task, held.epoch, verdict, "cancelled"))
 
@@ -137,31 +137,31 @@
         return True
 
     def _spread_elsewhere(self, item: WaitingTask) -> bool:
-        """Move a spread task once to a shard that has VMs in the hall that is its turn."""
+        """Move a spread task, once at most, to a shard with VMs in the hall where it is due."""
         state = self._state
         if item.spread_done or not self._journal.healthy:
             return item.moving
         item.spread_done = True
-        hall = self._turn_of_hall(item.row.position)
+        hall = self._due_hall(item.row.position)
         shards = state.hall_shards.get(hall)
         if not shards or item.row.shard in shards:
             return False
         self._move(item, state.rng.choice(sorted(shards)))
         return item.moving
 
-    def _turn_of_hall(self, position: int) -> str:
+    def _due_hall(self, position: int) -> str:
         halls = sorted(self._state.hall_shards)
         return halls[position % len(halls)] if halls else ""
 
     def within_quota(self, row: TaskRow) -> bool:
-        """Tell whether the organisation's share in the task's shard has room for it."""
+        """Return whether the organisation's quota share in the task's shard suffices for it."""
         state = self._state
         shape = row.template.shape
         key = (row.template.organisation, row.shard)
         shares = state.ledger.shares
         cores = shares.cores(*key)
         if not state.held[row.shard].opened and shares.limited(row.template.organisation):
-            # What a former owner's runs use of the share is not known yet.
+            # How much of the share the previous owner's runs use is not known yet.
             return False
         if cores is not None and state.used_cores.get(key, 0) + shape.cores > cores:
             return False
@@ -170,7 +170,7 @@
         return accelerators is None or used + shape.accelerators <= accelerators
 
     def choose(self, row: TaskRow, shard: int) -> VmRow | None:
-        """Return the best of a few VMs of a shard with room, or ``None``."""
+        """Return the best of a few VMs of a shard that can hold a task, or ``None``."""
         state = self._state
         index = state.free.get(shard)
         if index is None:
@@ -195,16 +195,17 @@
         if len(halls) < 2:  # noqa: PLR2004
             return halls
         if preferences.spread:
-            first = self._turn_of_hall(position)
+            first = self._due_hall(position)
             return sorted(halls, key=lambda hall: (hall != first, hall))
         turn = int(self._state.rng.random() * len(halls))
         return halls[turn:] + halls[:turn]
 
     def _score(self, vm: VmRow, row: TaskRow) -> float:
-        """Return the cost of a VM for a task: what it strands, and what it is preferred for.
+        """Return the cost of a VM for a task, from the capacity left over and the preferences.
 
-        The packing part is the share of the VM that stays free; the part for waiting is how
-        uneven the free cores and memory become, since a lopsided rest fits nobody.
+        The packing term is the share of the VM that stays free. The balance term is the difference
+        between the shares of cores and memory that stay free, since an unbalanced remainder
+        fits few tasks.
         """
         capacity = vm.facts.capacity
         shape = row.template.shape
@@ -214,24 +215,24 @@
         cost = weight * (cores + memory) + (1 - weight) * abs(cores - memory)
         preferences = row.template.preferences
         if preferences.halls and vm.hall not in preferences.halls:
-            cost += HALL_PENALTY
+            cost += UNPREFERRED_HALL_PENALTY
         if preferences.spread:
             racks = self._state.job_racks.get(row.job)
-            cost += SPREAD_PENALTY * (racks[vm.rack] if racks else 0)
-            cost += TURN_PENALTY * (vm.hall != self._turn_of_hall(row.position))
+            cost += SAME_RACK_PENALTY * (racks[vm.rack] if racks else 0)
+            cost += OTHER_HALL_PENALTY * (vm.hall != self._due_hall(row.position))
         return cost
 
     # -- Starting ----------------------------------------------------------------------------
 
     def start(self, item: WaitingTask, vm: VmRow) -> None:
-        """Charge a VM for a task and start it, after its intent if it is not repeatable."""
+        """Charge a VM for a task and start it; if it is not repeatable, log its intent first."""
         state = self._state
         row = item.row
         held = state.held[row.shard]
         self.queue.remove(row.task)
         self.queue.charge(item, _cost(row.template.shape), self._weight(item.organisation))
-        self._counter += 1
-        run = RunRow(f"{row.task}@{held.epoch:x}.{self._counter:x}", row, vm.vm, state.now)
+        self._last_run_number += 1
+        run = RunRow(f"{row.task}@{held.epoch:x}.{self._last_run_number:x}", row, vm.vm, state.now)
         run.asked_at = item.since
         state.add_run(run)
         state.meter.count("placements")
@@ -239,12 +240,14 @@
             self._send(run, row)
             return
         intent = records.Intent(row.task, held.epoch)
-        if not self._journal.write(intent, lambda settled, _: self._announced(run, row, settled)):
+        if not self._journal.write(
+            intent, lambda settled, _: self._intent_settled(run, row, settled)
+        ):
             state.drop_run(run)
             self.enqueue(row)
 
-    def _announced(self, run: RunRow, row: TaskRow, settled: Settlement) -> None:
-        """Go on with a start whose intent is settled; nothing has been sent so far."""
+    def _intent_settled(self, run: RunRow, row: TaskRow, settled: Settlement) -> None:
+        """Send or cancel a start whose intent is settled; nothing has been sent before."""
         state = self._state
         if state.runs.get(run.run) is not run:
             return
@@ -282,16 +285,16 @@
     # -- Other shards ------------------------------------------------------------------------
 
     def _consider_move(self, item: WaitingTask) -> None:
-        """Move a task to a shard that has room, through the log."""
+        """Move a task, through the log, to a shard with enough free capacity."""
         state = self._state
         if item.moving or item.reserved or state.now < item.next_move:
             return
         if not self._journal.healthy:
             return
-        item.next_move = state.now + MOVE_INTERVAL * (0.5 + state.rng.random())
-        to = self._own_shard_with_room(item.row)
+        item.next_move = state.now + MOVE_INTERVAL_S * (0.5 + state.rng.random())
+        to = self._own_shard_with_capacity(item.row)
         if to is None:
-            to = self._peer_shard_with_room(item.row.template.shape)
+            to = self._peer_shard_with_capacity(item.row.template.shape)
         if to is None and not self._can_hold(item.row):
             to = self._shard_that_can_hold(item.row)
         if to is None or to == item.row.shard:
@@ -307,7 +310,7 @@
         item.moving = False
         self._state.freed[item.row.shard] += 1
 
-    def _own_shard_with_room(self, row: TaskRow) -> int | None:
+    def _own_shard_with_capacity(self, row: TaskRow) -> int | None:
         state = self._state
         shards = [shard for shard in state.held if state.active(shard) and shard != row.shard]
         state.rng.shuffle(shards)
@@ -316,20 +319,24 @@
                 return shard
         return None
 
-    def _peer_shard_with_room(self, shape: Shape) -> int | None:
+    def _peer_shard_with_capacity(self, shape: Shape) -> int | None:
         state = self._state
-        roomy = {
+        with_capacity = {
             peer.name
             for peer in state.peers.values()
             if peer.free_cores >= shape.cores
             and peer.free_accelerators >= shape.accelerators
             and state.now - peer.heard_at < state.settings.suspect_after
         }
-        shards = [row.shard for row in state.ledger.shards if row.owner and row.owner.name in roomy]
+        shards = [
+            row.shard
+            for row in state.ledger.shards
+            if row.owner and row.owner.name in with_capacity
+        ]
         return state.rng.choice(shards) if shards else None
 
     def _can_hold(self, row: TaskRow) -> bool:
-        """Tell whether some VM of the task's shard could hold it, if only it were empty."""
+        """Return whether any usable VM of the task's shard could hold it when empty."""
         return any(
             self._fits_empty(vm, row)
             for vm in self._state.shard_vms[row.shard].values()
@@ -343,21 +350,22 @@
         return row.template.shape.fits(vm.facts.capacity)
 
     def _shard_that_can_hold(self, row: TaskRow) -> int | None:
-        """Return a shard with a VM that could hold a task, room or not.
+        """Return a shard with a VM that could hold a task when empty, or ``None``.
 
-        Of other schedulers' VMs only the list is known, so a later move may be needed.
+        Only the capacity, not the load, of other schedulers' VMs is known, so the task may have to
+        move again.
         """
         state = self._state
         vms = [vm for vm in state.vms.values() if vm.listed and not vm.leaving]
         state.rng.shuffle(vms)
-        for vm in vms[:SAMPLE]:
+        for vm in vms[:MAX_SAMPLED_VMS]:
             unusable = vm.shard in state.held and vm.stage is not VmStage.USABLE
             if vm.shard != row.shard and not unusable and self._fits_empty(vm, row):
                 return vm.shard
         return None
 
     def shards_for(self, shape: Shape, chunks: int) -> list[int]:
-        """Return the shards that the chunks of a new job are best accepted into."""
+        """Return a shard for each chunk of a new job."""
         if chunks == 1:
             return [self._shard_for(shape)]
         state = self._state
@@ -377,12 +385,12 @@
             index = state.free[shard]
             if index.candidates(shape, index.halls(), 1, state.rng):
                 return shard
-        elsewhere = self._peer_shard_with_room(shape)
+        elsewhere = self._peer_shard_with_capacity(shape)
         if elsewhere is not None:
             return elsewhere
         return own[0] if own else state.rng.randrange(state.settings.shards)
 
 
 def _cost(shape: Shape) -> float:
-    """Return what a shape counts in fair sharing, in cores."""
+    """Return the weight of a shape in fair sharing, in cores."""
     return max(1.0, shape.cores, shape.memory_mb / 4096, 8.0 * shape.accelerators)
--- a/src/sablemount/core/systems/preemption.py
+++ b/src/sablemount/core/systems/preemption.py
@@ -1,7 +1,8 @@
-"""Preemption: which lower-paying tasks make way when capacity runs short.
+"""Preemption: frees capacity for tasks at the cost of runs of lower priority.
 
-The cheapest set on one VM is taken; a checkpoint goes before a throttle and a throttle before a
-stop. The VM is kept for the task meanwhile, and counts as free only on the worker's word.
+The cheapest set of victims on one VM is chosen; a checkpoint is preferred to a throttle, and a
+throttle to a stop. The VM is reserved for the task meanwhile, and its capacity counts as free only
+once the worker has confirmed it.
 """
 
 from collections import deque
@@ -17,38 +18,38 @@
 
 __all__ = ["Preemption"]
 
-PATIENCE = {
+PREEMPTION_DELAY_S = {
     CLASS_ORDER[PriorityClass.URGENT]: 0.0,
     CLASS_ORDER[PriorityClass.STANDARD]: 2.0,
     CLASS_ORDER[PriorityClass.BATCH]: 30.0,
 }
-"""How long a task of each class waits before lower-paying work yields to it, in seconds."""
-SAMPLE = 16
-"""How many VMs are weighed for one task."""
-PER_TICK = 64
-"""How many tasks may make others yield in one tick."""
-RETRY = 0.5
-"""Least time between two tries for one task, in seconds."""
-RESTORE_INTERVAL = 5.0
-"""Time between two looks at the throttled runs, in seconds."""
+"""Time that a task of each class waits before it may preempt runs of lower priority."""
+MAX_SAMPLED_VMS = 16
+"""Maximum number of VMs examined for one task."""
+MAX_TASKS_PER_TICK = 64
+"""Maximum number of tasks that may preempt others in one tick."""
+RETRY_INTERVAL_S = 0.5
+"""Minimum time between two attempts for one task."""
+RESTORE_INTERVAL_S = 5.0
+"""Time between two checks for throttled runs that can be restored."""
 CHECKPOINT_COST = 0.2
-"""What a checkpoint loses, as a share of what a stop loses."""
+"""Cost of a checkpoint, as a share of the cost of a stop."""
 THROTTLE_COST = 0.1
-"""What a throttle loses, as a share of what a stop loses."""
-VICTIM_WINDOW = 60.0
-"""Time over which a task's yielding is held to ``preempt_limit``, in seconds."""
+"""Cost of a throttle, as a share of the cost of a stop."""
+PREEMPTION_WINDOW_S = 60.0
+"""Window in which a task is preempted at most ``preempt_limit`` times."""
 LOST_SHARE = {
     CommandKind.CHECKPOINT: CHECKPOINT_COST,
     CommandKind.THROTTLE: 0.0,
     CommandKind.STOP: 1.0,
 }
-"""Share of the work done so far that each way to yield loses."""
-CLASS_COST = 100.0
-"""What one class nearer to the task's own adds to a victim's cost, in core seconds."""
+"""Share of the work done so far that each kind of preemption loses."""
+CLASS_COST_CORE_S = 100.0
+"""Cost added for each priority class that a victim ranks higher."""
 
 
 class _Victim(msgspec.Struct, frozen=True):
-    """One run that could yield, how, what that frees and what it costs in core seconds."""
+    """A run that could be preempted: how, what that frees, and its cost in core seconds."""
 
     run: RunRow
     kind: CommandKind
@@ -56,29 +57,29 @@
     cost: float
 
 
-class _Room(msgspec.Struct, frozen=True):
-    """What is or will be free of a VM; unlike a shape it may be negative."""
+class _Capacity(msgspec.Struct, frozen=True):
+    """The present or expected free capacity of a VM; unlike a shape, it may be negative."""
 
     cores: int
     memory_mb: int
     accelerators: int
     slots: int
 
-    def plus(self, shape: Shape, sign: int = 1) -> "_Room":
-        """Return the room with a shape more."""
-        return _Room(
+    def plus(self, shape: Shape, sign: int = 1) -> "_Capacity":
+        """Return the capacity with a shape added."""
+        return _Capacity(
             self.cores + sign * shape.cores,
             self.memory_mb + sign * shape.memory_mb,
             self.accelerators + sign * shape.accelerators,
             self.slots + sign * shape.slots,
         )
 
-    def minus(self, shape: Shape) -> "_Room":
-        """Return the room with a shape less."""
+    def minus(self, shape: Shape) -> "_Capacity":
+        """Return the capacity with a shape subtracted."""
         return self.plus(shape, -1)
 
     def holds(self, shape: Shape) -> bool:
-        """Tell whether a shape fits."""
+        """Return whether a shape fits."""
         return (
             shape.cores <= self.cores
             and shape.memory_mb <= self.memory_mb
@@ -88,7 +89,7 @@
 
 
 class _Reservation(msgspec.Struct):
-    """A VM kept for a task until its victims have yielded or the time is over."""
+    """A VM reserved for a task until its victims have freed their capacity, or a timeout."""
 
     item: WaitingTask
     vm: str
@@ -96,7 +97,7 @@
 
 
 class Preemption:
-    """Makes room for tasks that pay more."""
+    """Preempts runs of lower priority for waiting tasks."""
 
     def __init__(self, state: State, placement: Placement) -> None:
         self._state = state
@@ -107,25 +108,25 @@
         self._next_restore = 0.0
 
     def run(self) -> None:
-        """Use what has been freed, then make more work yield."""
+        """Start tasks on the freed capacity, then preempt further runs."""
         if not self._state.leased():
             return
         self._restore()
         for task in list(self._reservations):
             self._settle(task, self._reservations[task])
-        for item in self._due_items():
-            item.preempt_at = self._state.now + RETRY
-            self._make_room(item)
+        for item in self._preempting_items():
+            item.preempt_at = self._state.now + RETRY_INTERVAL_S
+            self._preempt_for(item)
 
-    def _due_items(self) -> list[WaitingTask]:
-        """Return what the placement of this tick has left waiting, the best paid first."""
+    def _preempting_items(self) -> list[WaitingTask]:
+        """Return the tasks that may preempt in this tick, those of the highest priority first."""
         due: list[WaitingTask] = []
         queue = self._placement.queue
         for level in range(LEVELS):
             for group in queue.groups(level):
-                heads = queue.head(level, group, PER_TICK)
-                due.extend(item for item in heads if self._due(item))
-        return due[:PER_TICK]
+                heads = queue.head(level, group, MAX_TASKS_PER_TICK)
+                due.extend(item for item in heads if self._may_preempt_others(item))
+        return due[:MAX_TASKS_PER_TICK]
 
     # -- Reservations ------------------------------------------------------------------------
 
@@ -155,19 +156,19 @@
 
     # -- Choosing victims --------------------------------------------------------------------
 
-    def _due(self, item: WaitingTask) -> bool:
+    def _may_preempt_others(self, item: WaitingTask) -> bool:
         state = self._state
-        patience = PATIENCE.get(item.order)
-        if patience is None or item.row.task in self._reservations or item.moving:
+        delay = PREEMPTION_DELAY_S.get(item.order)
+        if delay is None or item.row.task in self._reservations or item.moving:
             return False
         held = state.held.get(item.row.shard)
         if held is None or not held.opened or not state.active(item.row.shard):
             return False
-        if state.now - item.since < patience or state.now < item.preempt_at:
+        if state.now - item.since < delay or state.now < item.preempt_at:
             return False
         return self._placement.within_quota(item.row)
 
-    def _make_room(self, item: WaitingTask) -> None:
+    def _preempt_for(self, item: WaitingTask) -> None:
         state = self._state
         best: list[_Victim] = []
         best_row: VmRow | None = None
@@ -180,7 +181,7 @@
         if best_row is None:
             return
         for victim in best:
-            self._yield(best_row, victim)
+            self._preempt(best_row, victim)
         best_row.reserved_for[item.row.task] = item.row.template.shape
         until = state.now + state.settings.preempt_timeout
         self._reservations[item.row.task] = _Reservation(item, best_row.vm, until)
@@ -193,8 +194,8 @@
         shape = item.row.template.shape
         preferences = item.row.template.preferences
         rows = list(state.shard_vms[item.row.shard].values())
-        if len(rows) > SAMPLE:
-            rows = state.rng.sample(rows, SAMPLE)
+        if len(rows) > MAX_SAMPLED_VMS:
+            rows = state.rng.sample(rows, MAX_SAMPLED_VMS)
         return [
             row
             for row in rows
@@ -204,68 +205,75 @@
         ]
 
     def _victims(self, row: VmRow, item: WaitingTask) -> list[_Victim]:
-        """Return the cheapest runs of a VM whose yielding makes room, or nothing."""
+        """Return the cheapest victims on a VM that free enough capacity, or an empty list."""
         runs = [self._state.runs[name] for name in row.runs]
-        lower = [run for run in runs if run.order > item.order and self._may_yield(run, row)]
+        lower = [run for run in runs if run.order > item.order and self._may_preempt(run, row)]
         shape = item.row.template.shape
-        room = self._room_to_be(row)
-        gentle = [self._option(run, gentle=True) for run in lower if _can_be_gentle(run)]
-        return _enough(room, shape, gentle) or _enough(
-            room, shape, [self._option(run, gentle=False) for run in lower]
+        free = self._expected_capacity(row)
+        milder = [self._victim_of(run, without_stop=True) for run in lower if _needs_no_stop(run)]
+        return _cheapest_sufficient(free, shape, milder) or _cheapest_sufficient(
+            free,
+            shape,
+            [self._victim_of(run, without_stop=False) for run in lower],
         )
 
-    def _room_to_be(self, row: VmRow) -> _Room:
-        """Return what will be free of a VM once its victims have yielded and its takers started."""
-        room = _Room(row.free_cores, row.free_memory, row.free_accelerators, row.free_slots)
+    def _expected_capacity(self, row: VmRow) -> _Capacity:
+        """Return the free capacity of a VM after its pending preemptions and reserved starts."""
+        free = _Capacity(row.free_cores, row.free_memory, row.free_accelerators, row.free_slots)
         for name, kind in row.commands.items():
             run = self._state.runs.get(name)
             if run is not None and kind is not CommandKind.RESTORE:
-                room = room.plus(_freed_by(run, kind))
+                free = free.plus(_freed_by(run, kind))
         for shape in row.reserved_for.values():
-            room = room.minus(shape)
-        return room
+            free = free.minus(shape)
+        return free
 
-    def _may_yield(self, run: RunRow, row: VmRow) -> bool:
+    def _may_preempt(self, run: RunRow, row: VmRow) -> bool:
         return (
             run.stage is RunStage.RUNNING
             and run.run not in row.commands
             and run.template.repeatable
-            and self._recently(run.task) < self._state.settings.preempt_limit
+            and self._recent_preemptions(run.task) < self._state.settings.preempt_limit
         )
 
-    def _recently(self, task: str) -> int:
-        """Return how often a task has yielded within the window."""
+    def _recent_preemptions(self, task: str) -> int:
+        """Return how often a task has been preempted within the window."""
         times = self._preempted_at.get(task)
         if times is None:
             return 0
-        while times and self._state.now - times[0] > VICTIM_WINDOW:
+        while times and self._state.now - times[0] > PREEMPTION_WINDOW_S:
             times.popleft()
         if not times:
             del self._preempted_at[task]
         return len(times)
 
-    def _option(self, run: RunRow, gentle: bool) -> _Victim:
-        """Return how a run yields, and what that frees and costs."""
+    def _victim_of(self, run: RunRow, without_stop: bool) -> _Victim:
+        """Return how a run would be preempted, and what that frees and costs."""
         elapsed = self._state.now - run.started_at
         lost = max(1, run.shape.cores) * elapsed
-        again = 1.0 + self._recently(run.task)
-        fixed = CLASS_COST * (len(CLASS_ORDER) - run.order)
+        repeat_factor = 1.0 + self._recent_preemptions(run.task)
+        class_cost = CLASS_COST_CORE_S * (len(CLASS_ORDER) - run.order)
         if run.template.checkpointable:
-            cost = again * (fixed + CHECKPOINT_COST * lost)
+            cost = repeat_factor * (class_cost + CHECKPOINT_COST * lost)
             return _Victim(run, CommandKind.CHECKPOINT, run.shape, cost)
-        if gentle:
+        if without_stop:
             freed = _freed_by(run, CommandKind.THROTTLE)
-            return _Victim(run, CommandKind.THROTTLE, freed, again * THROTTLE_COST * (fixed + lost))
-        return _Victim(run, CommandKind.STOP, run.shape, again * (fixed + lost))
+            return _Victim(
+                run,
+                CommandKind.THROTTLE,
+                freed,
+                repeat_factor * THROTTLE_COST * (class_cost + lost),
+            )
+        return _Victim(run, CommandKind.STOP, run.shape, repeat_factor * (class_cost + lost))
 
     # -- Throttled runs ----------------------------------------------------------------------
 
     def _restore(self) -> None:
-        """Give throttled runs their cores back where nobody waits for them."""
+        """Restore throttled runs to full cores on VMs without reservations."""
         state = self._state
         if state.now < self._next_restore:
             return
-        self._next_restore = state.now + RESTORE_INTERVAL
+        self._next_restore = state.now + RESTORE_INTERVAL_S
         for name in list(self._throttled):
             run = state.runs.get(name)
             if run is None:
@@ -280,12 +288,12 @@
         missing = full.cores - run.shape.cores
         if row.reserved_for or run.run in row.commands or row.free_cores < missing:
             return
-        # Charged before the worker is told, since it may use them from then on.
+        # Charged before the command is sent, since the run may use the cores from then on.
         state.reshape(run, full)
         row.commands[run.run] = CommandKind.RESTORE
         self._throttled.discard(run.run)
 
-    def _yield(self, row: VmRow, victim: _Victim) -> None:
+    def _preempt(self, row: VmRow, victim: _Victim) -> None:
         run = victim.run
         if victim.kind is CommandKind.THROTTLE:
             self._throttled.add(run.run)
@@ -297,7 +305,7 @@
         self._state.meter.count("preempted_core_ms", "", int(1000 * share * lost))
 
 
-def _can_be_gentle(run: RunRow) -> bool:
+def _needs_no_stop(run: RunRow) -> bool:
     return run.template.checkpointable or (run.shape.cores > 1 and not run.throttled)
 
 
@@ -307,23 +315,23 @@
     return run.shape
 
 
-def _enough(room: _Room, shape: Shape, options: list[_Victim]) -> list[_Victim]:
-    """Return the first options that together make room, without those that prove needless."""
+def _cheapest_sufficient(free: _Capacity, shape: Shape, options: list[_Victim]) -> list[_Victim]:
+    """Return the cheapest options that suffice together, less those that prove unnecessary."""
     taken: list[_Victim] = []
     for victim in sorted(options, key=lambda item: item.cost / max(1, item.freed.cores)):
         taken.append(victim)
-        if _frees(room, shape, taken):
+        if _suffice(free, shape, taken):
             break
     else:
         return []
     for victim in list(taken):
         rest = [other for other in taken if other is not victim]
-        if _frees(room, shape, rest):
+        if _suffice(free, shape, rest):
             taken = rest
     return taken
 
 
-def _frees(room: _Room, shape: Shape, victims: list[_Victim]) -> bool:
+def _suffice(free: _Capacity, shape: Shape, victims: list[_Victim]) -> bool:
     for victim in victims:
-        room = room.plus(victim.freed)
-    return room.holds(shape)
+        free = free.plus(victim.freed)
+    return free.holds(shape)
