--- a/src/sablemount/core/systems/quotas.py
+++ b/src/sablemount/core/systems/quotas.py
@@ -1,7 +1,7 @@
-"""Quotas: an owner that runs short asks for a part of another shard's share.
+"""Quotas: an owner whose share of a quota is used up requests a part of another shard's share.
 
-A share only moves through the log and only by the owner that holds it, so the sum over all
-schedulers never exceeds the quota.
+A share moves only through the log, and only by the owner that holds it, so the shares of all
+schedulers together never exceed the quota.
 """
 
 from sablemount.core import records
@@ -14,34 +14,34 @@
 
 __all__ = ["Quotas"]
 
-ASK_INTERVAL = 0.5
-"""Least time between two questions about one organisation and shard, in seconds."""
-ASK_FACTOR = 4
-"""How many tasks' worth is asked for at once, so that a burst needs few moves."""
+ASK_INTERVAL_S = 0.5
+"""Minimum time between two requests for one organisation and shard."""
+ASKED_TASKS = 4
+"""Number of tasks for which quota is requested at once, so that a burst needs few moves."""
 
 
 class Quotas:
-    """Moves quota shares to where they are needed."""
+    """Moves quota shares between shards on demand."""
 
     def __init__(self, state: State, journal: Journal, placement: Placement) -> None:
         self._state = state
         self._journal = journal
         self._placement = placement
-        self._asked: dict[tuple[str, int], float] = {}
+        self._next_ask: dict[tuple[str, int], float] = {}
 
     def run(self) -> None:
-        """Ask for what the last placement run was short of."""
+        """Request the quota that the last placement run lacked."""
         state = self._state
         for key, shape in self._placement.short_of_quota.items():
-            if state.now < self._asked.get(key, 0.0):
+            if state.now < self._next_ask.get(key, 0.0):
                 continue
-            self._asked[key] = state.now + ASK_INTERVAL
+            self._next_ask[key] = state.now + ASK_INTERVAL_S
             self._ask(key[0], key[1], shape)
 
     def _ask(self, organisation: str, shard: int, shape: Shape) -> None:
         state = self._state
         sources = [row for row in state.ledger.shards if row.shard != shard and row.owner]
-        # The richest shares are asked first, with a random choice among equals.
+        # The shard with the largest spare share is asked, chosen at random among equals.
         state.rng.shuffle(sources)
         sources.sort(key=lambda row: self._spare(organisation, row.shard, shape), reverse=True)
         if not sources or not self._spare(organisation, sources[0].shard, shape):
@@ -52,8 +52,8 @@
             organisation,
             source.shard,
             shard,
-            ASK_FACTOR * shape.cores,
-            ASK_FACTOR * shape.accelerators,
+            ASKED_TASKS * shape.cores,
+            ASKED_TASKS * shape.accelerators,
         )
         if source.owner == state.writer:
             self.received(ask)
@@ -61,7 +61,7 @@
             state.emit(SendPeer(source.owner.name, ask))
 
     def _spare(self, organisation: str, shard: int, shape: Shape) -> int:
-        """Return what a shard's share would still grant; of other owners' use nothing is known."""
+        """Return the spare part of a shard's share; what other owners use is not known."""
         state = self._state
         cores = state.ledger.shares.cores(organisation, shard)
         accelerators = state.ledger.shares.accelerators(organisation, shard)
@@ -74,7 +74,7 @@
         return spare
 
     def received(self, ask: QuotaAsk) -> None:
-        """Give away what the asked shard does not use."""
+        """Grant what the source shard does not use, up to the requested amount."""
         state = self._state
         held = state.held.get(ask.source)
         if held is None or not held.opened or not state.leased() or not state.active(ask.source):
@@ -89,7 +89,7 @@
             move = records.QuotaMove(
                 ask.organisation, ask.source, held.epoch, ask.to, cores, accelerators
             )
-            # What is on its way out counts as used until the ledger has taken it off the share.
+            # The moved amount counts as used until the ledger has subtracted it from the share.
             if self._journal.write(move, lambda *_: state.spend(key, -cores, -accelerators)):
                 state.spend(key, cores, accelerators)
 
--- a/src/sablemount/core/systems/reconcile.py
+++ b/src/sablemount/core/systems/reconcile.py
@@ -1,6 +1,7 @@
-"""Reconciling: what a VM says that it runs, against what is charged for it.
+"""Reconciliation of the runs that a VM reports with the runs that are charged to it.
 
-Whatever a worker confirms as ended is free; whatever cannot be told stays charged.
+The capacity of a run is freed once the worker confirms its end; while its state is unknown, it
+stays charged.
 """
 
 from collections.abc import Callable
@@ -18,7 +19,7 @@
 
 __all__ = ["Reconcile"]
 
-NOTHING = Shape()
+EMPTY_SHAPE = Shape()
 ENDED_STATES = frozenset(
     {
         RunState.DONE,
@@ -31,7 +32,7 @@
 
 
 class Reconcile:
-    """Takes the workers' answers into the tables."""
+    """Applies the workers' answers to the tables."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
     # -- Polls -------------------------------------------------------------------------------
 
     def polled(self, event: PollEnded) -> None:
-        """Take the answer to a poll, or its absence."""
+        """Handle the answer to a poll, or its failure."""
         state = self._state
         row = state.vms.get(event.vm)
         if row is None:
@@ -61,11 +62,11 @@
             if state.runs[run].stage is not RunStage.LAPSED and row.stage is not VmStage.LOST:
                 self._renewal.note_renewal(state.runs[run])
         if not event.boot:
-            self._missed(row)
+            self._poll_missed(row)
             return
-        self._take(row, event)
+        self._apply_report(row, event)
 
-    def _missed(self, row: VmRow) -> None:
+    def _poll_missed(self, row: VmRow) -> None:
         state = self._state
         row.missed += 1
         state.meter.count("polls_missed")
@@ -75,29 +76,29 @@
             state.meter.count("vms_lost")
         state.reindex(row)
 
-    def _take(self, row: VmRow, event: PollEnded) -> None:
+    def _apply_report(self, row: VmRow, event: PollEnded) -> None:
         row.missed = 0
         row.said_leaving = event.leaving
         row.boot = event.boot
         reported = {report.run for report in event.runs}
         row.acknowledge = {run: None for run in row.acknowledge if run in reported}
         for report in event.runs:
-            self._report(row, report)
+            self._apply_run_report(row, report)
         for name in [run for run in row.runs if run not in reported]:
-            self._absent(self._state.runs[name], event.sent_at)
+            self._not_reported(self._state.runs[name], event.sent_at)
         for name in [run for run in row.orphans if run not in reported]:
             row.release(row.orphans.pop(name))
-        self._requests(row, event)
+        self._reconcile_requests(row, event)
         row.reconciled = True
         if row.stage is VmStage.LOST:
             row.stage = VmStage.UNKNOWN
         self._state.reindex(row)
 
-    def _requests(self, row: VmRow, event: PollEnded) -> None:
-        """Free the slots of requests that were given up and that the worker no longer has."""
+    def _reconcile_requests(self, row: VmRow, event: PollEnded) -> None:
+        """Free the slots of abandoned requests that the worker no longer lists."""
         listed = set(event.requests)
-        for request, given_up in list(row.requests.items()):
-            if given_up < event.sent_at and request not in listed:
+        for request, abandoned_at in list(row.requests.items()):
+            if abandoned_at < event.sent_at and request not in listed:
                 del row.requests[request]
                 row.free_slots += 1
         foreign = sum(1 for request in listed if request not in row.requests)
@@ -106,7 +107,7 @@
 
     # -- One run -----------------------------------------------------------------------------
 
-    def _report(self, row: VmRow, report: RunReport) -> None:
+    def _apply_run_report(self, row: VmRow, report: RunReport) -> None:
         run = self._state.runs.get(report.run)
         if run is None:
             run = self._adopt(row, report)
@@ -116,14 +117,14 @@
             self._ended(run, report.state)
             return
         if run.stage is RunStage.LAPSED:
-            # The worker has run it past its lease: it must go, the task may be elsewhere.
+            # The worker has kept it past its lease; it has to stop, as the task may run elsewhere.
             row.commands[run.run] = CommandKind.STOP
         elif run.stage in (RunStage.STARTING, RunStage.UNCERTAIN):
             self._started(run)
         run.throttled = report.state is RunState.THROTTLED
         command = row.commands.get(run.run)
         if command is CommandKind.RESTORE and run.throttled:
-            # The worker may act on the command at any moment, so the full shape stays charged.
+            # The worker may restore the run at any moment, so the full shape stays charged.
             return
         done = CommandKind.THROTTLE if run.throttled else CommandKind.RESTORE
         if command is done:
@@ -138,7 +139,7 @@
             row.urgent_poll = True
 
     def _adopt(self, row: VmRow, report: RunReport) -> RunRow | None:
-        """Take over a run that a former owner started; it is charged whatever it is."""
+        """Adopt a run that a previous owner started; an unwanted one is still charged."""
         state = self._state
         task = state.task_row(report.run)
         wanted = task is not None and task.shard == row.shard and task.task not in state.run_of
@@ -149,7 +150,7 @@
         assert task is not None
         run = RunRow(report.run, task, row.vm, state.now)
         run.stage = RunStage.RUNNING
-        run.shape = NOTHING if ended else report.shape
+        run.shape = EMPTY_SHAPE if ended else report.shape
         state.add_run(run)
         state.meter.count("runs_adopted")
         return run
@@ -166,8 +167,8 @@
             row.charge(report.shape)
             row.urgent_poll = True
 
-    def _absent(self, run: RunRow, sent_at: float) -> None:
-        """Take it that a run is not on its VM, if the answer is newer than its start."""
+    def _not_reported(self, run: RunRow, sent_at: float) -> None:
+        """Drop a run that its VM does not report, if the answer is more recent than its start."""
         if run.stage in (RunStage.STARTING, RunStage.ENDED) or sent_at < run.started_at:
             return
         if run.stage is RunStage.UNCERTAIN and sent_at < run.uncertain_until:
@@ -176,10 +177,10 @@
         self._state.drop_run(run)
         self._state.vms[run.vm].commands.pop(run.run, None)
         if not lapsed:
-            self._lost(run.task)
+            self._run_lost(run.task)
 
-    def _lost(self, name: str) -> None:
-        """Decide what becomes of a task whose run is certainly over without a result."""
+    def _run_lost(self, name: str) -> None:
+        """Requeue or finish a task whose run has certainly ended without a result."""
         state = self._state
         task = state.ledger.tasks.get(name)
         if task is None or task.finished:
@@ -198,37 +199,37 @@
         held = self._state.held[task.shard]
         self._journal.write(records.Finish(task.task, held.epoch, verdict, reason))
 
-    def _ended(self, run: RunRow, told: RunState) -> None:
+    def _ended(self, run: RunRow, reported: RunState) -> None:
         state = self._state
         row = state.vms[run.vm]
         row.commands.pop(run.run, None)
-        state.reshape(run, NOTHING)
+        state.reshape(run, EMPTY_SHAPE)
         if run.stage is RunStage.ENDED:
             if state.task_row(run.run) is None:
-                self._let_go(run)
+                self._release(run)
             return
-        if run.stage is RunStage.LAPSED or told is RunState.LAPSED:
+        if run.stage is RunStage.LAPSED or reported is RunState.LAPSED:
             lapsed = run.stage is RunStage.LAPSED
-            self._let_go(run)
+            self._release(run)
             if not lapsed:
-                self._lost(run.task)
-        elif told in (RunState.DONE, RunState.FAILED) and run.template.kind is not Kind.SERVICE:
-            self._record(run, "" if told is RunState.DONE else "failed")
+                self._run_lost(run.task)
+        elif reported in (RunState.DONE, RunState.FAILED) and run.template.kind is not Kind.SERVICE:
+            self._record(run, "" if reported is RunState.DONE else "failed")
         else:
-            self._let_go(run)
-            state.meter.count("runs_interrupted", told.value)
-            self._lost(run.task)
+            self._release(run)
+            state.meter.count("runs_interrupted", reported.value)
+            self._run_lost(run.task)
 
-    def _let_go(self, run: RunRow) -> None:
+    def _release(self, run: RunRow) -> None:
         self._state.vms[run.vm].acknowledge[run.run] = None
         self._state.drop_run(run)
 
     def _record(self, run: RunRow, reason: str) -> None:
-        """Write the outcome; the worker keeps its word until the log has it."""
+        """Write the outcome to the log; the worker reports it until it is acknowledged."""
         state = self._state
         task = state.ledger.tasks.get(run.task)
         if task is None or task.finished:
-            self._let_go(run)
+            self._release(run)
             return
         finish = records.Finish(run.task, state.held[run.shard].epoch, Verdict.DONE, reason)
         if self._journal.write(finish, lambda settled, _: self._recorded(run, settled)):
@@ -238,15 +239,15 @@
         if self._state.runs.get(run.run) is not run:
             return
         if settled in (Settlement.ACCEPTED, Settlement.REJECTED):
-            self._let_go(run)
+            self._release(run)
         else:
-            # The worker still tells the outcome, so the next poll records it again.
+            # The worker still reports the outcome, so the next poll records it again.
             run.stage = RunStage.RUNNING
 
     # -- Starts ------------------------------------------------------------------------------
 
     def start_ended(self, event: StartEnded) -> None:
-        """Take the outcome of a start command."""
+        """Handle the outcome of a start command."""
         state = self._state
         run = state.runs.get(event.run)
         state.meter.count("starts_ended", event.status.value)
@@ -263,7 +264,7 @@
             state.vms[run.vm].urgent_poll = True
         else:
             state.drop_run(run)
-            self._again(run)
+            self._requeue(run)
 
     def _started(self, run: RunRow) -> None:
         state = self._state
@@ -274,15 +275,15 @@
         within = waited <= run.template.objective.within
         state.meter.waited(template, run.template.priority.value, waited, within)
 
-    def _again(self, run: RunRow) -> None:
+    def _requeue(self, run: RunRow) -> None:
         task = self._state.task_row(run.run)
         if task is not None:
             self._enqueue(task)
 
-    # -- Lapses ------------------------------------------------------------------------------
+    # -- Lapsed runs -------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Let the runs of lost VMs lapse once their leases are certainly over."""
+        """Mark the runs of lost VMs as lapsed once their leases have certainly expired."""
         state = self._state
         for shard in state.held:
             for row in state.shard_vms[shard].values():
@@ -293,9 +294,9 @@
         state = self._state
         for name in list(row.runs):
             run = state.runs[name]
-            over = run.stage not in (RunStage.LAPSED, RunStage.ENDED, RunStage.STARTING)
-            if over and state.now >= run.lease_bound:
+            may_lapse = run.stage not in (RunStage.LAPSED, RunStage.ENDED, RunStage.STARTING)
+            if may_lapse and state.now >= run.lease_bound:
                 run.stage = RunStage.LAPSED
                 if state.run_of.get(run.task) == name:
                     del state.run_of[run.task]
-                self._lost(task_of(name))
+                self._run_lost(task_of(name))
