--- a/src/sablemount/core/systems/recovery.py
+++ b/src/sablemount/core/systems/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: the tasks of a shard that was taken, and those that come to it later."""
+"""Recovery: queues the tasks of a newly held shard, and the tasks that arrive in it later."""
 
 from sablemount.core import records
 from sablemount.core.actions import CommandKind
@@ -13,7 +13,7 @@
 
 
 class Recovery:
-    """Opens shards for placement once it is known what runs in them."""
+    """Opens held shards for placement once it is known which tasks run in them."""
 
     def __init__(self, state: State, journal: Journal, placement: Placement) -> None:
         self._state = state
@@ -23,7 +23,7 @@
         journal.reset_listeners.append(self._reset)
 
     def run(self) -> None:
-        """Open the shards whose VMs have all answered, or whose former leases have lapsed."""
+        """Open the shards whose VMs have all answered, or whose previous leases have expired."""
         state = self._state
         for held in state.held.values():
             if held.opened or held.state is not HoldState.ACTIVE:
@@ -39,14 +39,14 @@
         self._enqueue_all(held)
 
     def _enqueue_all(self, held: HeldShard) -> None:
-        """Let every open task of a shard wait that neither runs nor waits."""
+        """Queue every open task of a shard that is neither running nor queued."""
         state = self._state
         for name in list(state.ledger.open_tasks[held.shard]):
             row = state.ledger.tasks[name]
             if name in state.run_of or name in self._placement.queue:
                 continue
             if row.intent:
-                # It was about to start under a former owner, and no VM tells what became of it.
+                # A previous owner was about to start it, and no VM reports it, so it may have run.
                 verdict = Verdict.MAY_HAVE_RUN
                 reason = Reason.VM_LOST.value
                 self._journal.write(records.Finish(name, held.epoch, verdict, reason))
@@ -54,13 +54,13 @@
                 self._placement.enqueue(row)
 
     def _reset(self) -> None:
-        """Go on with another ledger: its rows replace those that the queue holds."""
+        """Adopt a newly installed ledger: its rows replace those in the queue."""
         self._placement.rebind()
         for held in self._state.held.values():
             if held.opened:
                 self._enqueue_all(held)
 
-    # -- Tasks that come later ---------------------------------------------------------------
+    # -- Tasks that arrive later -------------------------------------------------------------
 
     def _applied(self, applied: Applied) -> None:
         if not applied.accepted:
@@ -69,20 +69,20 @@
         ledger = self._state.ledger
         if isinstance(body, records.Accept):
             for name in ledger.names_of(body):
-                self._consider(ledger.tasks[name], new=True)
+                self._enqueue_if_open(ledger.tasks[name], new=True)
         elif isinstance(body, records.Move | records.Cancel):
             row = ledger.tasks[body.task]
-            self._consider(row)
+            self._enqueue_if_open(row)
             self._stop_cancelled(row)
         elif isinstance(body, records.Publish):
             self._state.note_change()
             for row in ledger.replicas_of(body.key):
-                self._consider(row)
+                self._enqueue_if_open(row)
                 self._stop_cancelled(row)
         elif isinstance(body, records.QuotaMove):
             self._state.note_change()
 
-    def _consider(self, row: TaskRow, new: bool = False) -> None:
+    def _enqueue_if_open(self, row: TaskRow, new: bool = False) -> None:
         held = self._state.held.get(row.shard)
         if held is None or row.finished or not (held.opened or new):
             return
--- a/src/sablemount/core/systems/renewal.py
+++ b/src/sablemount/core/systems/renewal.py
@@ -1,4 +1,4 @@
-"""Renewal: one poll a VM and interval renews leases, gives commands and reads what runs."""
+"""Renewal: one poll per VM and interval renews leases, sends commands and lists the runs."""
 
 import heapq
 
@@ -9,8 +9,10 @@
 __all__ = ["Renewal"]
 
 IDLE_FACTOR = 1.5
-"""How much more seldom a VM without work is polled."""
-RENEWED = frozenset({RunStage.STARTING, RunStage.RUNNING, RunStage.UNCERTAIN, RunStage.STOPPING})
+"""Factor on the poll interval of a VM without work."""
+RENEWED_STAGES = frozenset(
+    {RunStage.STARTING, RunStage.RUNNING, RunStage.UNCERTAIN, RunStage.STOPPING}
+)
 
 
 class Renewal:
@@ -22,7 +24,7 @@
         self._scheduled: set[str] = set()
 
     def run(self) -> None:
-        """Poll whatever is due."""
+        """Poll the VMs that are due."""
         self._schedule_new()
         state = self._state
         while self._due and self._due[0][0] <= state.now:
@@ -33,7 +35,7 @@
                 self._poll_due(row)
 
     def poll_urgently(self) -> None:
-        """Poll the VMs that commands wait for."""
+        """Poll the VMs that have been marked for an urgent poll."""
         for shard in self._state.held:
             for row in self._state.shard_vms[shard].values():
                 if row.urgent_poll and not row.polling:
@@ -58,8 +60,8 @@
     def _poll_due(self, row: VmRow) -> None:
         interval = self._state.settings.renew_interval
         busy = bool(row.runs or row.orphans or row.requests or row.foreign)
-        spread = 0.9 + 0.2 * self._state.rng.random()
-        self._push(row.vm, self._state.now + interval * spread * (1.0 if busy else IDLE_FACTOR))
+        jitter = 0.9 + 0.2 * self._state.rng.random()
+        self._push(row.vm, self._state.now + interval * jitter * (1.0 if busy else IDLE_FACTOR))
         if not row.polling:
             self._poll(row)
 
@@ -74,7 +76,7 @@
         state.emit(
             Poll(
                 vm=row.vm,
-                renew=self._renewed(row),
+                renew=self._runs_to_renew(row),
                 acknowledge=tuple(row.acknowledge),
                 commands=self._commands(row),
                 lease=state.settings.run_lease,
@@ -82,23 +84,23 @@
             )
         )
 
-    def _renewed(self, row: VmRow) -> tuple[str, ...]:
-        """Return the runs to renew; a lost VM's leases are left to lapse."""
+    def _runs_to_renew(self, row: VmRow) -> tuple[str, ...]:
+        """Return the runs to renew; the leases of a lost VM are left to expire."""
         if row.stage is VmStage.LOST:
             return ()
         runs = self._state.runs
-        return tuple(run for run in row.runs if runs[run].stage in RENEWED)
+        return tuple(run for run in row.runs if runs[run].stage in RENEWED_STAGES)
 
     def _commands(self, row: VmRow) -> tuple[RunCommand, ...]:
-        """Return the commands, given again at each poll until the worker's word shows the end."""
+        """Return the commands; each is repeated until the worker reports its effect."""
         if not self._state.leased():
             return ()
-        given = [RunCommand(run, kind) for run, kind in row.commands.items()]
-        given.extend(RunCommand(run, CommandKind.STOP) for run in row.orphans)
-        return tuple(given)
+        commands = [RunCommand(run, kind) for run, kind in row.commands.items()]
+        commands.extend(RunCommand(run, CommandKind.STOP) for run in row.orphans)
+        return tuple(commands)
 
     def note_renewal(self, run: RunRow) -> None:
-        """Move the time up to which a run's lease may last at the worker."""
+        """Extend the latest time until which the worker may hold a run's lease."""
         settings = self._state.settings
         lease = settings.run_lease * (1 + settings.drift) + settings.settle
         run.lease_bound = self._state.now + lease
--- a/src/sablemount/core/systems/requests.py
+++ b/src/sablemount/core/systems/requests.py
@@ -1,8 +1,8 @@
 """Requests: admission, routing, retries and answers.
 
-A request takes one slot of a VM for as long as it is served. It goes to a VM of an own shard, or
-once to a peer that says it has room, or waits in a bounded queue. Whatever is given up is answered
-at once, with its verdict and, where it helps, the time after which to come back.
+A request occupies one slot of a VM while it is served. It is sent to a VM of a shard held here,
+or forwarded, once, to a peer that reports free slots, or waits in a bounded queue. A request that
+is abandoned is answered at once, with its verdict and, where useful, the time after which to retry.
 """
 
 from collections import deque
@@ -28,17 +28,17 @@
 __all__ = ["Requests", "parse_key"]
 
 ONE_SLOT = Shape(slots=1)
-CHOICES = 3
-"""How many random VMs with a free slot are compared."""
-BACKOFF = 0.01
-"""First pause before a retry, in seconds; it doubles, with full jitter."""
-COUNT_INTERVAL = 0.5
-"""Time between two counts of the slots of the own shards, in seconds."""
+SAMPLED_VMS = 3
+"""Number of random VMs with a free slot that are compared."""
+BACKOFF_S = 0.01
+"""Base of the exponential backoff before a retry, with full jitter."""
+SLOT_COUNT_INTERVAL_S = 0.5
+"""Time between two counts of the slots in the held shards."""
 KEY_PARTS = 2
 
 
 class Requests:
-    """Takes requests from callers and peers to an answer."""
+    """Processes requests from callers and peers until they are answered."""
 
     def __init__(self, state: State, journal: Journal) -> None:
         self._state = state
@@ -55,13 +55,13 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the number of requests without an answer."""
+        """The number of requests that have not been answered."""
         return len(self._requests)
 
     # -- Admission ---------------------------------------------------------------------------
 
     def arrived(self, arrival: RequestArrived) -> None:
-        """Admit a request, or refuse it at once."""
+        """Admit a request or refuse it immediately."""
         state = self._state
         row = state.ledger.documents.get(arrival.template)
         template = row.document if row is not None else None
@@ -107,14 +107,14 @@
         self._state.emit(AnswerRequest(arrival.request, Err(failure)))
 
     def _count_failure(self, arrival: RequestArrived, reason: Reason) -> None:
-        """Count a failure where the caller is: a peer's own count would make it two."""
+        """Count a failure, except of a forwarded request, which the forwarding peer counts."""
         if not arrival.forwarded:
             self._state.meter.failed(arrival.template, reason.value)
 
     # -- Keys --------------------------------------------------------------------------------
 
     def _spend_key(self, request: RequestRow) -> None:
-        """Spend the key in the log before the first byte goes out."""
+        """Log the key as spent before anything is sent to a VM."""
         arrival = request.arrival
         issued = parse_key(arrival.key)
         if issued is None:
@@ -134,7 +134,7 @@
         if settled is Settlement.ACCEPTED:
             self._route(request)
         elif settled is Settlement.REJECTED and error == "the key is spent":
-            # This request did not run, but another one with its key may have.
+            # This request has not run, but another one with the same key may have.
             self._fail(request, Verdict.MAY_HAVE_RUN, Reason.KEY_SPENT, error)
         elif settled is Settlement.REJECTED:
             self._fail(request, Verdict.NOT_RUN, Reason.KEY_EXPIRED, error)
@@ -149,17 +149,17 @@
             self._enqueue(request)
 
     def _dispatch(self, request: RequestRow) -> bool:
-        """Send a request to a VM or a peer; tell whether it went."""
+        """Send a request to a VM or a peer; return whether it was sent."""
         state = self._state
         if state.now < request.not_before:
             return False
         if state.leased():
-            row = state.slots.choose(ONE_SLOT, state.rng, CHOICES)
+            row = state.slots.choose(ONE_SLOT, state.rng, SAMPLED_VMS)
             if row is not None:
                 self._serve(request, row)
                 return True
         if not request.arrival.forwarded and not request.sent:
-            peer = self._roomy_peer()
+            peer = self._peer_with_slots()
             if peer is not None:
                 self._forward(request, peer)
                 return True
@@ -193,18 +193,18 @@
         within = waited <= template.objective.within
         self._state.meter.waited(request.arrival.template, template.priority.value, waited, within)
 
-    def _roomy_peer(self) -> str | None:
-        """Return the roomier of two random peers that lately said they had a free slot."""
+    def _peer_with_slots(self) -> str | None:
+        """Return, of two random peers with recently reported free slots, the one with more."""
         state = self._state
-        fresh = state.now - state.settings.suspect_after
-        roomy = [
+        oldest = state.now - state.settings.suspect_after
+        candidates = [
             peer
             for peer in state.peers.values()
-            if peer.free_slots > 0 and peer.heard_at > fresh and not peer.stopping
+            if peer.free_slots > 0 and peer.heard_at > oldest and not peer.stopping
         ]
-        if not roomy:
+        if not candidates:
             return None
-        pair = state.rng.sample(roomy, min(2, len(roomy)))
+        pair = state.rng.sample(candidates, min(2, len(candidates)))
         chosen = max(pair, key=lambda peer: peer.free_slots)
         chosen.free_slots -= 1
         return chosen.name
@@ -223,38 +223,38 @@
                 self._shed(request)
                 return
             self._shed(victim)
-        if self._hopeless(request):
+        if self._would_miss_deadline(request):
             self._shed(request)
         else:
             self._queue.push(request)
 
-    def _wait_ahead(self, order: int) -> float:
-        """Return how long what is queued ahead will take, in seconds."""
+    def _expected_wait(self, order: int) -> float:
+        """Return the expected time to serve the requests queued ahead, in seconds."""
         return self._queue.ahead_of(order) * self._service_time / max(1, self._slots_total)
 
-    def _hopeless(self, request: RequestRow) -> bool:
-        """Tell whether a deadline will pass before the request's turn comes."""
-        wait = self._wait_ahead(request.order)
+    def _would_miss_deadline(self, request: RequestRow) -> bool:
+        """Return whether the request is expected to miss its deadline in the queue."""
+        wait = self._expected_wait(request.order)
         return self._state.now + wait > request.arrival.deadline
 
     def _shed(self, request: RequestRow) -> None:
-        retry_after = min(5.0, 0.2 + self._wait_ahead(request.order))
+        retry_after = min(5.0, 0.2 + self._expected_wait(request.order))
         verdict = Verdict.MAY_HAVE_RUN if request.may_have_run else Verdict.NOT_RUN
         self._fail(request, verdict, Reason.OVERLOADED, "", retry_after)
 
     def pump(self) -> None:
-        """Send what waits for as long as there is room."""
+        """Send queued requests while there are free slots."""
         while (request := self._queue.first()) is not None:
-            gone = request.name not in self._requests
-            late = not gone and request.arrival.deadline <= self._state.now
-            if not gone and not late and not self._dispatch(request):
+            removed = request.name not in self._requests
+            late = not removed and request.arrival.deadline <= self._state.now
+            if not removed and not late and not self._dispatch(request):
                 return
             self._queue.pop()
             if late:
-                self._give_up(request)
+                self._expire(request)
 
     def run(self) -> None:
-        """Expire, put back what was delayed, and send."""
+        """Requeue delayed requests, expire late ones, and send queued ones."""
         self._ejection.run()
         self._count_slots()
         for _ in range(len(self._delayed)):
@@ -265,32 +265,32 @@
                 self._delayed.append(request)
         for request in self._queue.pop_late(self._state.now):
             if request.name in self._requests:
-                self._give_up(request)
+                self._expire(request)
         self.pump()
 
     def _count_slots(self) -> None:
         state = self._state
         if state.now < self._next_count:
             return
-        self._next_count = state.now + COUNT_INTERVAL
+        self._next_count = state.now + SLOT_COUNT_INTERVAL_S
         rows = (row for shard in state.held for row in state.shard_vms[shard].values())
         self._slots_total = sum(row.facts.capacity.slots for row in rows if row.was_usable)
 
-    def _give_up(self, request: RequestRow) -> None:
+    def _expire(self, request: RequestRow) -> None:
         verdict = Verdict.MAY_HAVE_RUN if request.may_have_run else Verdict.NOT_RUN
         self._fail(request, verdict, Reason.DEADLINE, "the deadline passed before its turn", 0.5)
 
     # -- Answers -----------------------------------------------------------------------------
 
     def ended(self, event: RequestEnded) -> None:
-        """Take the end of an attempt."""
+        """Handle the end of an attempt."""
         state = self._state
         row = state.vms.get(event.vm) if event.vm else None
         if row is not None:
             self._free_slot(row, event)
         request = self._requests.get(event.request)
         if request is not None:
-            self._conclude(request, event)
+            self._attempt_ended(request, event)
         self.pump()
 
     def _free_slot(self, row: VmRow, event: RequestEnded) -> None:
@@ -302,7 +302,7 @@
         self._ejection.note(row, event.failure)
         self._state.reindex(row)
 
-    def _conclude(self, request: RequestRow, event: RequestEnded) -> None:
+    def _attempt_ended(self, request: RequestRow, event: RequestEnded) -> None:
         failure = event.failure
         if failure is None:
             self._service_time += 0.05 * (event.elapsed - self._service_time)
@@ -331,10 +331,10 @@
     def _retry(self, request: RequestRow) -> None:
         state = self._state
         state.meter.count("retries")
-        pause = BACKOFF * (1 << request.attempt) * state.rng.random()
+        pause = BACKOFF_S * (1 << request.attempt) * state.rng.random()
         request.not_before = state.now + pause
         request.attempt = max(1, request.attempt)
-        # A peer that certainly did not run it leaves the way to another one open.
+        # If it has certainly not run, it may be forwarded to another peer.
         request.sent = request.may_have_run
         self._delayed.append(request)
 
@@ -357,7 +357,7 @@
         self._limits.left(request.template.organisation)
 
     def withdrawn(self, name: str) -> None:
-        """Forget a caller that has gone; what was sent for it stays charged until it ends."""
+        """Drop the request of a disconnected caller, unless it has been sent to a VM or a peer."""
         request = self._requests.get(name)
         if request is not None and not request.sent:
             self._finish(request)
