--- a/src/sablemount/core/systems/snapshots.py
+++ b/src/sablemount/core/systems/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: the folded state goes into the log before the log forgets what it was folded from."""
+"""Snapshots: the ledger is written to the log before the log drops the entries behind it."""
 
 from sablemount.core import records
 from sablemount.core.image import split_image
@@ -10,11 +10,11 @@
 __all__ = ["Snapshots"]
 
 RANK_DELAY = 0.25
-"""How much later each next member steps in, as a share of the snapshot interval."""
+"""Additional delay of each further member, as a share of the snapshot interval."""
 
 
 class Snapshots:
-    """Writes a snapshot when it is due; the first live member by name goes first."""
+    """Writes a snapshot when it is due; the first live member by name writes it first."""
 
     def __init__(self, state: State, journal: Journal, membership: Membership) -> None:
         self._state = state
@@ -22,7 +22,7 @@
         self._membership = membership
 
     def run(self) -> None:
-        """Write a snapshot if it is this member's turn."""
+        """Write a snapshot if one is due and this member has to write it."""
         state = self._state
         age = state.ledger.offset - state.ledger.snapshot_upto
         if age < state.settings.snapshot_entries or not self._membership.joined:
--- a/src/sablemount/core/systems/stopping.py
+++ b/src/sablemount/core/systems/stopping.py
@@ -1,4 +1,4 @@
-"""The planned stop: hand over, finish what is in flight, leave."""
+"""The planned stop: hand over the shards, answer the requests in flight, and leave."""
 
 from sablemount.core import records
 from sablemount.core.actions import Stopped
@@ -11,7 +11,7 @@
 
 
 class Stopping:
-    """Ends this scheduler without cutting anything off."""
+    """Stops this scheduler without interrupting requests or runs."""
 
     def __init__(
         self, state: State, journal: Journal, membership: Membership, requests: Requests
@@ -21,21 +21,21 @@
         self._membership = membership
         self._requests = requests
         self._left = False
-        self._told = False
+        self._reported = False
 
     def requested(self) -> None:
-        """Begin the stop; the shards are handed over by the ownership system."""
+        """Begin the stop; the ownership system then hands over the shards."""
         self._state.stopping = True
 
     def run(self) -> None:
-        """Leave once nothing is held or in flight, and say so once."""
+        """Leave once no shard is held and no request is in flight; report the stop once."""
         state = self._state
-        if not state.stopping or self._told:
+        if not state.stopping or self._reported:
             return
         if state.held or self._requests.in_flight:
             return
         if self._membership.joined and not self._left:
             self._left = self._journal.write(records.Leave())
         if not self._membership.joined and self._journal.idle:
-            self._told = True
+            self._reported = True
             state.emit(Stopped())
