--- a/tests/fakes/cell.py
+++ b/tests/fakes/cell.py
@@ -1,7 +1,7 @@
-"""Several scheduler cores, a log and workers in virtual time, with faults by hand.
+"""Several scheduler cores, a log and workers in virtual time, with fault injection.
 
-It carries out actions after fixed delays and reports back by events, in the order of one queue.
-Nothing in it decides anything.
+The cell performs the cores' actions after fixed delays and returns the outcomes as events, in the
+order of one queue. It contains no scheduling logic of its own.
 """
 
 import heapq
@@ -21,10 +21,12 @@
 from tests.fakes.log import AnswerLost, FakeLog, LogMode, LogUnavailable
 from tests.fakes.worker import FakeWorker, Truth
 
-DELAY = 0.002
-SERVICE_TIME = 0.02
+MESSAGE_DELAY_S = 0.002
+"""One-way delay of each message."""
+SERVICE_TIME_S = 0.02
 LOG = "log"
 LIST = "list"
+"""Names of the log and of the VM list as ends of a link."""
 CAPACITY = Shape(cores=16, memory_mb=65_536, accelerators=2, slots=8)
 Observer = Callable[["Member", actions.Action], None]
 
@@ -35,7 +37,7 @@
 
 
 class Member:
-    """One scheduler process: its core, its clock, and whether it runs."""
+    """One scheduler process: its core, its clock, and whether it is running."""
 
     def __init__(self, cell: "VirtualCell", name: str, incarnation: int) -> None:
         self.cell = cell
@@ -77,12 +79,12 @@
     def _check_revisions(self) -> None:
         for key, row in self.core.state.ledger.documents.items():
             if row.revision < self.revisions.get(key, 0):
-                self.cell.truth.violations.append(f"configuration: {key} went back on {self.name}")
+                self.cell.truth.violations.append(f"configuration: {key} reverted on {self.name}")
             self.revisions[key] = row.revision
 
 
 class VirtualCell:
-    """The platform and the members, driven by one event queue."""
+    """The platform and the scheduler processes, driven by one event queue."""
 
     def __init__(
         self,
@@ -93,13 +95,13 @@
         retention: int = 1_000_000,
         halls: int = 3,
         truth: Truth | None = None,
-        service_time: float = SERVICE_TIME,
+        service_time: float = SERVICE_TIME_S,
     ) -> None:
         self.rng = random.Random(seed)
         self.now = 0.0
         self.settings = settings or CoreSettings(shards=6)
         self.log = FakeLog(retention)
-        self.log_delay = DELAY
+        self.log_delay = MESSAGE_DELAY_S
         self.truth = truth or Truth()
         self.service_time = service_time
         self.workers = {
@@ -135,10 +137,10 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], limit: float) -> float:
-        """Run until a condition holds and return how long it took; fails after the limit."""
+        """Run until a condition holds and return the time taken; fail after the limit."""
         start = self.now
         while not condition():
-            assert self.now - start < limit, "the condition did not come to hold"
+            assert self.now - start < limit, "the condition did not hold within the limit"
             self.run(0.05)
         return self.now - start
 
@@ -198,7 +200,7 @@
         self.cut.clear()
         self.log.mode = LogMode.UP
         self.log.land_late_writes(self.now)
-        self.log_delay = DELAY
+        self.log_delay = MESSAGE_DELAY_S
         self.listed = None
         self.drop = lambda *_: False
 
@@ -248,7 +250,7 @@
                 self.log.append(action.payload, self.now)
             except LogUnavailable:
                 status = events.AppendStatus.REFUSED
-                self._reply(member, DELAY, ended(action.sequence, status))
+                self._reply(member, MESSAGE_DELAY_S, ended(action.sequence, status))
             except AnswerLost:
                 status = events.AppendStatus.UNKNOWN
                 self._reply(member, timeout, ended(action.sequence, status))
@@ -277,12 +279,14 @@
             worker.start(action.run, action.shape, action.lease, action.seconds, self.now)
             lost = self.drop(member, action, "answer")
             outcome = status.UNKNOWN if lost else status.STARTED
-            self._reply(member, timeout if lost else DELAY, events.StartEnded(action.run, outcome))
+            self._reply(
+                member, timeout if lost else MESSAGE_DELAY_S, events.StartEnded(action.run, outcome)
+            )
 
         if not self.linked(member.name, action.vm) or self.drop(member, action, "command"):
             self._reply(member, timeout, events.StartEnded(action.run, status.UNKNOWN))
         else:
-            self.after(DELAY, arrive)
+            self.after(MESSAGE_DELAY_S, arrive)
 
     def _do_Poll(self, member: Member, action: actions.Poll) -> None:
         sent_at = member.clock()
@@ -304,12 +308,12 @@
             ended = events.PollEnded(
                 action.vm, sent_at, worker.boot, worker.leaving, reports, requests
             )
-            self._reply(member, DELAY, ended)
+            self._reply(member, MESSAGE_DELAY_S, ended)
 
         if member.clock() > action.not_after or not self.linked(member.name, action.vm):
             self._reply(member, timeout, missed)
         else:
-            self.after(DELAY, arrive)
+            self.after(MESSAGE_DELAY_S, arrive)
 
     def _do_Serve(self, member: Member, action: actions.Serve) -> None:
         worker = self.workers.get(action.vm)
@@ -333,14 +337,14 @@
                 end(lost, False, timeout)
             else:
                 served = Served(action.body, action.vm)
-                end(None, True, self.service_time + DELAY, served)
+                end(None, True, self.service_time + MESSAGE_DELAY_S, served)
 
         if member.clock() > action.not_after:
             end(Failure(Verdict.NOT_RUN, Reason.UPSTREAM_UNREACHABLE), True, 0.0)
         elif not self.linked(member.name, action.vm):
             end(Failure(Verdict.MAY_HAVE_RUN, Reason.DEADLINE), False, timeout)
         else:
-            self.after(DELAY, arrive)
+            self.after(MESSAGE_DELAY_S, arrive)
 
     def _do_Forward(self, member: Member, action: actions.Forward) -> None:
         peer = self.members.get(action.peer)
@@ -349,7 +353,7 @@
         waiting = [True]
 
         def end(event: events.RequestEnded) -> None:
-            """A call ends once, whatever comes later."""
+            """End the call, once: a later answer or time-out is ignored."""
             if waiting[0] and self.linked(member.name, action.peer):
                 waiting[0] = False
                 member.take(event)
@@ -372,7 +376,7 @@
                 member.take(events.RequestEnded(arrival.request, "", lost, True))
 
         if self.linked(member.name, action.peer):
-            self.after(DELAY, arrive)
+            self.after(MESSAGE_DELAY_S, arrive)
         self.after(remaining, give_up)
 
     def _do_SendPeer(self, member: Member, action: actions.SendPeer) -> None:
@@ -382,7 +386,7 @@
                 peer.take(events.PeerReceived(action.message))
 
         if self.linked(member.name, action.peer):
-            self.after(DELAY, arrive)
+            self.after(MESSAGE_DELAY_S, arrive)
 
     def _do_AnswerRequest(self, member: Member, action: actions.AnswerRequest) -> None:
         end = self._forwards.pop((member.name, action.request), None)
@@ -393,7 +397,7 @@
             else:
                 failure = action.result.err_value
             event = events.RequestEnded(action.request, "", failure, True, 0.0, served)
-            self.after(DELAY, lambda: end(event))
+            self.after(MESSAGE_DELAY_S, lambda: end(event))
             return
         if action.request in self.answers:
             self.truth.violations.append(f"answer: {action.request} was answered twice")
@@ -403,7 +407,9 @@
     def _check_answer(self, action: actions.AnswerRequest) -> None:
         result = action.result
         if isinstance(result, Ok) and result.ok_value.body != action.request.encode():
-            self.truth.violations.append(f"answer: {action.request} got another one's answer")
+            self.truth.violations.append(
+                f"answer: {action.request} got the answer of another request"
+            )
         not_run = isinstance(result, Err) and result.err_value.verdict is Verdict.NOT_RUN
         if not_run and self.truth.executed[action.request]:
             self.truth.violations.append(f"not run: {action.request} ran")
@@ -473,7 +479,7 @@
         return found[0] if found else ""
 
     def check_tasks(self) -> None:
-        """Check that what the ledger calls not run did not run."""
+        """Check that no task with the verdict NOT_RUN has been started."""
         for member in self.live():
             for row in member.core.state.ledger.tasks.values():
                 if row.verdict == Verdict.NOT_RUN.value and self.truth.starts[row.task]:
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -1,9 +1,9 @@
 """The fault matrix: every fault at every step of every flow, singly and in pairs.
 
 One scenario runs all flows over three schedulers and six VMs in virtual time. A cell of the
-matrix arms one step of one flow; when the step comes, its fault strikes the scheduler or VM
-concerned. The invariants are checked by the stand-ins at each event; at the end everything is
-healed, and all accepted work must come to an outcome.
+matrix selects a step of a flow and a fault, which is injected into the scheduler or VM concerned
+when the step occurs. The stand-ins check the invariants at each event. At the end all faults are
+undone, and every accepted task must reach an outcome.
 """
 
 import itertools
@@ -18,7 +18,7 @@
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """One cell of the matrix; ``second`` strikes another scheduler ``wait`` seconds later."""
+    """A cell of the matrix; ``second`` is injected into another scheduler ``wait`` s later."""
 
     step: int
     fault: str
@@ -26,14 +26,14 @@
     wait: float = 0.0
 
     def describe(self) -> str:
-        """Return the cell in words."""
+        """Return a readable description of the cell."""
         step = STEPS[self.step]
         after = f" + {self.second} after {self.wait} s" if self.second else ""
         return f"{step.flow}: {step.name} x {self.fault}{after}"
 
 
 class CellResult(msgspec.Struct, frozen=True):
-    """What became of one cell; ``struck`` is false when its step did not come about."""
+    """The result of a cell; ``struck`` is false if its step did not occur."""
 
     cell: Cell
     struck: bool
@@ -41,10 +41,10 @@
 
 
 def run_cell(cell: Cell) -> CellResult:
-    """Run one cell under its own seed."""
+    """Run a cell with a seed that depends on its step."""
     run = Run(1000 + cell.step, FAULTS)
-    then = (cell.second, cell.wait) if cell.second else None
-    run.arm(STEPS[cell.step], cell.fault, then)
+    follow_up = (cell.second, cell.wait) if cell.second else None
+    run.arm(STEPS[cell.step], cell.fault, follow_up)
     try:
         violations = run.play()
     except Exception as error:
@@ -53,12 +53,12 @@
 
 
 def singles() -> list[Cell]:
-    """Return every step with every fault."""
+    """Return a cell for every step and fault."""
     return [Cell(step, fault) for step in range(len(STEPS)) for fault in FAULTS]
 
 
 def pairs() -> list[Cell]:
-    """Return every step with every pair of faults, the waits in turn."""
+    """Return a cell for every step and ordered pair of faults, cycling through the waits."""
     waits = itertools.cycle((0.0, 0.4, 3.0))
     return [
         Cell(step, first, second, next(waits))
--- a/tests/matrix_faults.py
+++ b/tests/matrix_faults.py
@@ -1,50 +1,52 @@
-"""The faults of the matrix, by name: each strikes a scheduler, or a VM, of a run."""
+"""The faults of the matrix by name; each affects a scheduler or a VM of a run."""
 
 from collections.abc import Callable
 
 import msgspec
 
 from sablemount.core import actions
-from tests.fakes.cell import DELAY, LIST, LOG, Member
+from tests.fakes.cell import LIST, LOG, MESSAGE_DELAY_S, Member
 from tests.fakes.log import LogMode
 from tests.matrix_run import DISPATCH, Run
 
-FAULT_SECONDS = 20.0
+FAULT_S = 20.0
 
 
 def _cut(run: Run, pairs: list[tuple[str, str]]) -> None:
     for one, other in pairs:
         run.cell.part(one, other)
 
-    def mend() -> None:
+    def undo() -> None:
         for one, other in pairs:
             run.cell.cut.discard(frozenset((one, other)))
 
-    run.heal_after(FAULT_SECONDS, mend)
+    run.heal_after(FAULT_S, undo)
 
 
 def _log_mode(run: Run, mode: LogMode, seconds: float) -> None:
     run.cell.log.mode = mode
 
-    def mend() -> None:
+    def undo() -> None:
         if run.cell.log.mode is mode:
             run.cell.log.mode = LogMode.UP
         run.cell.log.land_late_writes(run.cell.now)
 
-    run.heal_after(seconds, mend)
+    run.heal_after(seconds, undo)
 
 
 def _slow_log(run: Run) -> None:
     run.cell.log_delay = 0.4
-    run.heal_after(FAULT_SECONDS, lambda: setattr(run.cell, "log_delay", DELAY))
+    run.heal_after(FAULT_S, lambda: setattr(run.cell, "log_delay", MESSAGE_DELAY_S))
 
 
-def _drops(run: Run, what: str) -> None:
+def _drops(run: Run, dropped_part: str) -> None:
     until = run.cell.now + 1.5
-    before = run.cell.drop
+    previous_drop = run.cell.drop
 
     def drop(member: Member, action: actions.Action, part: str) -> bool:
-        return before(member, action, part) or (part == what and run.cell.now < until)
+        return previous_drop(member, action, part) or (
+            part == dropped_part and run.cell.now < until
+        )
 
     run.cell.drop = drop
 
@@ -58,21 +60,21 @@
 def _stale_list(run: Run, vm: str) -> None:
     run.cell.listed = run.cell.vm_list()
     run.cell.workers[vm].fail()
-    run.heal_after(FAULT_SECONDS, lambda: setattr(run.cell, "listed", None))
+    run.heal_after(FAULT_S, lambda: setattr(run.cell, "listed", None))
 
 
-def _rival(run: Run, name: str) -> None:
+def _racing_operator(run: Run, name: str) -> None:
     document = msgspec.structs.replace(DISPATCH, replicas=5)
     for revision in (1, 2):
         if not run.cell.members[name].dead:
             run.cell.publish(document, revision, name)
 
 
-def _peers(run: Run, name: str) -> list[tuple[str, str]]:
+def _peer_links(run: Run, name: str) -> list[tuple[str, str]]:
     return [(name, other) for other in run.cell.names if other != name]
 
 
-def _machines(run: Run, name: str) -> list[tuple[str, str]]:
+def _vm_links(run: Run, name: str) -> list[tuple[str, str]]:
     return [(name, vm) for vm in run.cell.workers]
 
 
@@ -82,16 +84,18 @@
     "lapsed lease": lambda run, name, vm: run.cell.pause(name, 9.0),
     "lost command": lambda run, name, vm: _drops(run, "command"),
     "lost answer": lambda run, name, vm: _drops(run, "answer"),
-    "log outage": lambda run, name, vm: _log_mode(run, LogMode.DOWN, FAULT_SECONDS),
+    "log outage": lambda run, name, vm: _log_mode(run, LogMode.DOWN, FAULT_S),
     "lost append answers": lambda run, name, vm: _log_mode(run, LogMode.LOSES_ANSWERS, 8.0),
     "late writes": lambda run, name, vm: _log_mode(run, LogMode.WRITES_LATE, 6.0),
     "slow log": lambda run, name, vm: _slow_log(run),
     "VM failure": lambda run, name, vm: run.cell.workers[vm].fail(),
     "VM restart": lambda run, name, vm: _vm_restarts(run, vm),
     "stale VM list": lambda run, name, vm: _stale_list(run, vm),
-    "racing operator": lambda run, name, vm: _rival(run, name),
+    "racing operator": lambda run, name, vm: _racing_operator(run, name),
     "cut from the log": lambda run, name, vm: _cut(run, [(name, LOG), (name, LIST)]),
-    "cut from the peers": lambda run, name, vm: _cut(run, _peers(run, name)),
-    "cut from the VMs": lambda run, name, vm: _cut(run, _machines(run, name)),
-    "cut from log and peers": lambda run, name, vm: _cut(run, [(name, LOG), *_peers(run, name)]),
+    "cut from the peers": lambda run, name, vm: _cut(run, _peer_links(run, name)),
+    "cut from the VMs": lambda run, name, vm: _cut(run, _vm_links(run, name)),
+    "cut from log and peers": lambda run, name, vm: _cut(
+        run, [(name, LOG), *_peer_links(run, name)]
+    ),
 }
--- a/tests/matrix_run.py
+++ b/tests/matrix_run.py
@@ -15,12 +15,13 @@
     Shape,
     TemplateDocument,
 )
-from tests.fakes.cell import DELAY, Member, VirtualCell
+from tests.fakes.cell import MESSAGE_DELAY_S, Member, VirtualCell
 from tests.matrix_steps import Step
 
-END = 45.0
-PATIENCE = 200.0
-ANSWERED = DELAY * 2.5
+SCENARIO_S = 45.0
+OUTCOME_TIMEOUT_S = 200.0
+"""Time after the scenario in which all accepted work must reach an outcome."""
+ANSWERED = MESSAGE_DELAY_S * 2.5
 SETTINGS = CoreSettings(shards=3, tick=0.2, snapshot_entries=150, hold_limit=120.0, aging=20.0)
 
 QUOTE = TemplateDocument("rueda", "quote", Kind.REQUEST, PriorityClass.URGENT, Shape(slots=1))
@@ -64,7 +65,7 @@
 
 
 class Run:
-    """One run of the scenario with armed faults."""
+    """One run of the scenario with the armed faults."""
 
     def __init__(self, seed: int, faults: "FaultTable", settings: CoreSettings = SETTINGS) -> None:
         self._faults = faults
@@ -76,8 +77,8 @@
 
     # -- Faults ------------------------------------------------------------------------------
 
-    def arm(self, step: Step, fault: str, then: tuple[str, float] | None = None) -> None:
-        """Let a fault strike at a step, and a second one a while after it."""
+    def arm(self, step: Step, fault: str, follow_up: tuple[str, float] | None = None) -> None:
+        """Arm a fault at the first occurrence of a step, and a second one some time later."""
         armed = [True]
 
         def observe(member: Member, action: actions.Action) -> None:
@@ -90,8 +91,8 @@
                 self.cell.after(step.delay, lambda: self.strike(fault, member.name, vm))
             else:
                 self.strike(fault, member.name, vm)
-            if then is not None:
-                second, wait = then
+            if follow_up is not None:
+                second, wait = follow_up
                 self.cell.after(wait, lambda: self.strike(second, self._other(member.name), ""))
 
         self.cell.observers.append(observe)
@@ -101,17 +102,17 @@
         return self.cell.rng.choice(names) if names else name
 
     def strike(self, fault: str, name: str, vm: str) -> None:
-        """Let a fault happen to a scheduler, and to a VM if it concerns one."""
+        """Inject a fault into a scheduler, or into a VM if the fault concerns one."""
         self.struck.append(fault)
         vm = vm or self.cell.rng.choice(sorted(self.cell.workers))
         self._faults[fault](self, name, vm)
 
     def heal_after(self, seconds: float, call: Callable[[], None]) -> None:
-        """Undo something later."""
+        """Schedule the end of a fault."""
         self.cell.after(seconds, call)
 
     def crash(self, name: str) -> None:
-        """Kill a scheduler; a new one takes its name after a while."""
+        """Kill a scheduler; a new incarnation replaces it after 8 s."""
         member = self.cell.members[name]
         if member.dead:
             return
@@ -125,13 +126,13 @@
     # -- The scenario ------------------------------------------------------------------------
 
     def play(self) -> list[str]:
-        """Run the scenario and return what was violated."""
+        """Run the scenario and return the violations."""
         cell = self.cell
         cell.run_until(cell.settled, 30.0)
         self.origin = cell.now
         cell.truth.single.update(f"transfers.{index}" for index in range(6))
         self._script()
-        cell.run(END)
+        cell.run(SCENARIO_S)
         cell.heal()
         for name, member in list(cell.members.items()):
             if member.dead or member.stopped:
@@ -147,9 +148,9 @@
         for index, (job, (template, count)) in enumerate(JOBS.items()):
             at(1.0 + 1.5 * index, lambda j=job, t=template, c=count: self._submit(t, j, c))
         at(6.0, lambda: self._submit("rueda/rush", "rush", 2))
-        for index in range(int(END * 4)):
+        for index in range(int(SCENARIO_S * 4)):
             at(1.0 + index / 4, lambda index=index: self._quote(index))
-        for index in range(int(END)):
+        for index in range(int(SCENARIO_S)):
             at(1.1 + index, lambda index=index: self._keyed(index))
         at(7.0, lambda: self._drain("vm-1"))
         at(9.0, lambda: cell.workers["vm-2"].leave(cell.now))
@@ -180,7 +181,7 @@
             self.cell.request("rueda/quote", member.name, name=f"q{index}")
 
     def _keyed(self, index: int) -> None:
-        """Send the same key to two schedulers at once."""
+        """Send requests with the same key to two schedulers at the same time."""
         for suffix, member in zip("ab", self.cell.live(), strict=False):
             key = f"{int(self.cell.now)}.{index}"
             self.cell.request("yard/stock", member.name, key, name=f"k{index}!{suffix}")
@@ -193,7 +194,7 @@
         live[0].take(events.DrainRequested("drain", vm, True, deadline))
 
     def _revise(self) -> None:
-        """Two operators revise one template at once."""
+        """Let two operators revise the same template at the same time."""
         for replicas, member in zip((2, 4), self.cell.live(), strict=False):
             document = msgspec.structs.replace(DISPATCH, replicas=replicas)
             self.cell.publish(document, 1, member.name)
@@ -203,18 +204,18 @@
         member.take(events.CancelRequested("cancel", "spares.13", deadline))
 
     def _finish(self) -> None:
-        """Wait until all accepted work has an outcome, and look for what was lost."""
+        """Wait until all accepted work has an outcome, and report lost work as violations."""
         cell = self.cell
-        limit = cell.now + PATIENCE
-        while cell.now < limit and self._open():
+        limit = cell.now + OUTCOME_TIMEOUT_S
+        while cell.now < limit and self._unfinished():
             cell.run(1.0)
-        for name in self._open():
-            cell.truth.violations.append(f"lost: {name} came to no outcome")
+        for name in self._unfinished():
+            cell.truth.violations.append(f"lost: {name} has no outcome")
         cell.run(3.0)
         cell.check_tasks()
         self._check_revisions_agree()
 
-    def _open(self) -> list[str]:
+    def _unfinished(self) -> list[str]:
         cell = self.cell
         missing = [] if cell.settled() else ["the shards"]
         for token, job in self.accepted.items():
--- a/tests/matrix_steps.py
+++ b/tests/matrix_steps.py
@@ -1,4 +1,4 @@
-"""The steps at which the fault matrix strikes: the action that shows each, and the moment."""
+"""The steps at which the fault matrix injects faults, each identified by an action."""
 
 from collections.abc import Callable
 
@@ -6,14 +6,17 @@
 
 from sablemount.core import actions, records
 from sablemount.core.records import decode_batch
-from tests.fakes.cell import DELAY
+from tests.fakes.cell import MESSAGE_DELAY_S
 
-IN_FLIGHT = DELAY / 2
-DELIVERED = DELAY * 1.5
+IN_FLIGHT_S = MESSAGE_DELAY_S / 2
+DELIVERED_S = MESSAGE_DELAY_S * 1.5
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One step: the action that shows it, from when on, and how long after it the fault comes."""
+    """A step of a flow: the action that marks it, and when the fault follows.
+
+    Actions before ``since`` are ignored; the fault follows ``delay`` seconds after the action.
+    """
 
     flow: str
     name: str
@@ -49,8 +52,8 @@
 
 
 def _steps() -> list[Step]:
-    moments = [("sent", 0.0), ("in flight", IN_FLIGHT), ("delivered", DELIVERED)]
-    shown: list[tuple[str, str, Callable[[actions.Action], bool], float]] = [
+    moments = [("sent", 0.0), ("in flight", IN_FLIGHT_S), ("delivered", DELIVERED_S)]
+    flow_steps: list[tuple[str, str, Callable[[actions.Action], bool], float]] = [
         ("request", "serve", _serves("q"), 1.0),
         ("keyed request", "spend", _appends(records.SpendKey), 1.0),
         ("keyed request", "serve", _serves("k"), 1.0),
@@ -74,7 +77,7 @@
     ]
     return [
         Step(flow, f"{name} {moment}", matches, delay, since)
-        for flow, name, matches, since in shown
+        for flow, name, matches, since in flow_steps
         for moment, delay in moments
     ]
 
