--- a/tests/test_false_suspicion.py
+++ b/tests/test_false_suspicion.py
@@ -1,4 +1,8 @@
-"""Members that falsely suspected each other as the log went down go on in the outage."""
+"""Members that falsely suspect each other when the log goes down keep working in the outage.
+
+The claims that they have queued or sent must neither prevent the promises that extend the leases,
+nor make two owners act for one shard once the log is back.
+"""
 
 import itertools
 from collections.abc import Callable
@@ -12,8 +16,8 @@
 from tests.fakes.log import LogMode
 
 SETTINGS = CoreSettings(shards=3, promise=5.0, evict_after=4.0)
-SILENCE = 2.8
-"""Seconds without heartbeats, beyond which a member is suspected."""
+SILENCE_S = 2.8
+"""Time without heartbeats after which a member is suspected."""
 
 
 def _cell() -> VirtualCell:
@@ -30,13 +34,13 @@
 
 
 def _all_suspect_all() -> VirtualCell:
-    """Return a cell whose members are about to claim each other's shards as the log goes down."""
+    """Return a cell whose members have queued claims on each other's shards as the log fails."""
     cell = _cell()
     cell.log.mode = LogMode.WRITES_LATE
     pairs = list(itertools.combinations(cell.names, 2))
     for one, other in pairs:
         cell.part(one, other)
-    cell.run(SILENCE)
+    cell.run(SILENCE_S)
     cell.log.mode = LogMode.DOWN
     for one, other in pairs:
         cell.cut.discard(frozenset((one, other)))
@@ -45,12 +49,12 @@
 
 
 def _one_is_suspected() -> VirtualCell:
-    """Return a cell in which a claim against a paused member may be in the log that goes down."""
+    """Return a cell in which a claim against a paused member may be in the log when it fails."""
     cell = _cell()
-    cell.pause("s0", SILENCE)
+    cell.pause("s0", SILENCE_S)
     cell.run(1.8)
     cell.log.mode = LogMode.WRITES_LATE
-    cell.run(SILENCE - 1.8)
+    cell.run(SILENCE_S - 1.8)
     cell.log.mode = LogMode.DOWN
     assert [claim.shard for claim in _claims(cell)] == [0]
     assert cell.log.late
@@ -65,9 +69,9 @@
 def test_all_go_on_in_the_outage(suspicion: Suspicion) -> None:
     cell = suspicion()
     cell.run(3.0)
-    asked = [cell.request("rueda/quote", name) for name in cell.names for _ in range(4)]
+    requests = [cell.request("rueda/quote", name) for name in cell.names for _ in range(4)]
     cell.run(3.0)
-    assert [request for request in asked if not cell.answers[request].is_ok()] == []  # type: ignore[attr-defined]
+    assert [request for request in requests if not cell.answers[request].is_ok()] == []  # type: ignore[attr-defined]
     assert all(member.core.state.leased() for member in cell.live())
 
 
@@ -114,4 +118,4 @@
         for shard, held in member.core.state.held.items()
         if held.opened
     ]
-    assert len(acting) == len(set(acting)), f"two owners act at {cell.now}"
+    assert len(acting) == len(set(acting)), f"a shard has two acting owners at {cell.now} s"
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -1,7 +1,7 @@
-"""Each invariant's check can fail: with its mechanism switched off, the violation is seen.
+"""Each invariant's check detects a violation when the mechanism behind it is switched off.
 
-Every test runs one scenario twice: as built, where nothing is violated, and with one mechanism
-replaced by nothing.
+Each scenario runs twice: unchanged, without any violation, and with one mechanism disabled, with
+the expected violation.
 """
 
 from collections.abc import Callable
@@ -40,7 +40,7 @@
     return cell.owners()[shard]
 
 
-def kinds(cell: VirtualCell) -> set[str]:
+def violated(cell: VirtualCell) -> set[str]:
     return {violation.partition(":")[0] for violation in cell.truth.violations}
 
 
@@ -48,7 +48,7 @@
 
 
 def deposed_owner_with_waiting_tasks() -> VirtualCell:
-    """An owner with waiting tasks is cut from the log and its peers, but not from its VMs."""
+    """Cut off an owner with waiting tasks from the log and its peers, but not from its VMs."""
     cell = make_cell()
     owner = cell.owners()[cell.live()[0].core.state.vms["vm-0"].shard]
     cell.submit("yard/wide", "wide", 12, member=owner)
@@ -62,20 +62,20 @@
 
 def test_a_deposed_owner_stops() -> None:
     cell = deposed_owner_with_waiting_tasks()
-    assert kinds(cell) == set()
+    assert violated(cell) == set()
     assert cell.truth.starts.total() >= 12
 
 
 def test_without_the_lease_two_owners_act(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Ownership, "renew", lambda self: setattr(self._state, "lease_until", 1e12))
-    assert kinds(deposed_owner_with_waiting_tasks()) & {"capacity", "one place"}
+    assert violated(deposed_owner_with_waiting_tasks()) & {"capacity", "one place"}
 
 
-# -- One place -------------------------------------------------------------------------------
+# -- At most one run per task ----------------------------------------------------------------
 
 
-def vm_out_of_sight() -> VirtualCell:
-    """A VM that runs a task is cut from its owner alone."""
+def vm_cut_off_from_schedulers() -> VirtualCell:
+    """Cut off a VM that runs a task from all schedulers."""
     cell = make_cell()
     cell.submit("rueda/long", "long", 1)
     cell.run(2.0)
@@ -87,21 +87,21 @@
 
 
 def test_a_task_waits_for_its_lease_to_lapse() -> None:
-    cell = vm_out_of_sight()
-    assert kinds(cell) == set()
+    cell = vm_cut_off_from_schedulers()
+    assert violated(cell) == set()
     assert cell.truth.starts["long"] == 2
 
 
 def test_without_the_lapse_a_task_runs_in_two_places(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Renewal, "note_renewal", lambda self, run: None)
-    assert kinds(vm_out_of_sight()) == {"one place"}
+    assert violated(vm_cut_off_from_schedulers()) == {"one place"}
 
 
 # -- At most once ----------------------------------------------------------------------------
 
 
-def owner_dies_with_a_transfer() -> VirtualCell:
-    """The owner of a non-repeatable task and the task's VM die together."""
+def owner_and_vm_of_a_transfer_fail() -> VirtualCell:
+    """Let the owner of a non-repeatable task and the task's VM fail at the same time."""
     cell = make_cell()
     cell.truth.single.add("transfer")
     cell.submit("yard/transfer", "transfer", 1)
@@ -114,8 +114,8 @@
 
 
 def test_a_transfer_is_not_started_again() -> None:
-    cell = owner_dies_with_a_transfer()
-    assert kinds(cell) == set()
+    cell = owner_and_vm_of_a_transfer_fail()
+    assert violated(cell) == set()
     assert cell.verdict("transfer") == Verdict.MAY_HAVE_RUN.value
 
 
@@ -126,7 +126,7 @@
                 self._placement.enqueue(self._state.ledger.tasks[name])
 
     monkeypatch.setattr(Recovery, "_enqueue_all", enqueue_all)
-    assert kinds(owner_dies_with_a_transfer()) == {"at most once"}
+    assert violated(owner_and_vm_of_a_transfer_fail()) == {"at most once"}
 
 
 def same_key_at_two_schedulers() -> VirtualCell:
@@ -139,14 +139,14 @@
 
 def test_a_key_is_spent_once() -> None:
     cell = same_key_at_two_schedulers()
-    assert kinds(cell) == set()
+    assert violated(cell) == set()
     verdicts = sorted(str(result.is_ok()) for result in cell.answers.values())  # type: ignore[attr-defined]
     assert verdicts == ["False", "True"]
 
 
 def test_without_keys_a_request_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Requests, "_spend_key", Requests._route)
-    assert kinds(same_key_at_two_schedulers()) == {"at most once"}
+    assert violated(same_key_at_two_schedulers()) == {"at most once"}
 
 
 # -- Verdicts --------------------------------------------------------------------------------
@@ -162,7 +162,7 @@
 
 def test_a_request_without_an_answer_may_have_run() -> None:
     cell = answers_lost()
-    assert kinds(cell) == set()
+    assert violated(cell) == set()
     (result,) = cell.answers.values()
     assert result.err_value.verdict is Verdict.MAY_HAVE_RUN  # type: ignore[attr-defined]
 
@@ -170,11 +170,11 @@
 def test_without_true_verdicts_not_run_has_run(monkeypatch: pytest.MonkeyPatch) -> None:
     fail = Requests._fail
 
-    def lie(self: Requests, request, verdict, *rest: object) -> None:  # type: ignore[no-untyped-def]
+    def always_not_run(self: Requests, request, verdict, *rest: object) -> None:  # type: ignore[no-untyped-def]
         fail(self, request, Verdict.NOT_RUN, *rest)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(Requests, "_fail", lie)
-    assert kinds(answers_lost()) == {"not run"}
+    monkeypatch.setattr(Requests, "_fail", always_not_run)
+    assert violated(answers_lost()) == {"not run"}
 
 
 # -- Leaving VMs -----------------------------------------------------------------------------
@@ -192,19 +192,19 @@
 
 
 def test_a_leaving_vm_gets_no_new_work() -> None:
-    assert kinds(work_after_leaving()) == set()
+    assert violated(work_after_leaving()) == set()
 
 
 def test_without_the_drain_a_leaving_vm_gets_work(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(State, "leaving", lambda self, row: False)
-    assert kinds(work_after_leaving()) == {"leaving"}
+    assert violated(work_after_leaving()) == {"leaving"}
 
 
 # -- Configuration ---------------------------------------------------------------------------
 
 
 def older_ledger_from_a_peer() -> VirtualCell:
-    """A peer offers the ledger that it had before a revision."""
+    """Install a peer's ledger that precedes a revision."""
     cell = make_cell()
     old = image_of(cell.members["s1"].core.state.ledger)
     cell.publish(msgspec.structs.replace(PLAN, expected_seconds=9.0), 1)
@@ -216,12 +216,12 @@
 
 
 def test_configuration_never_reverts() -> None:
-    assert kinds(older_ledger_from_a_peer()) == set()
+    assert violated(older_ledger_from_a_peer()) == set()
 
 
 def test_without_the_offset_check_configuration_reverts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Journal, "adopt", lambda self, image: self._install(ledger_of(image)))
-    assert kinds(older_ledger_from_a_peer()) == {"configuration"}
+    assert violated(older_ledger_from_a_peer()) == {"configuration"}
 
 
 # -- Answers and planned stops ---------------------------------------------------------------
@@ -240,7 +240,7 @@
 
 def test_a_planned_stop_cuts_nothing_off() -> None:
     cell = planned_stop_under_load()
-    assert kinds(cell) == set()
+    assert violated(cell) == set()
     assert cell.members["s0"].stopped
 
 
@@ -250,7 +250,7 @@
             self._state.emit(actions.Stopped())
 
     monkeypatch.setattr(Stopping, "run", run)
-    assert kinds(planned_stop_under_load()) == {"planned stop"}
+    assert violated(planned_stop_under_load()) == {"planned stop"}
 
 
 def test_without_the_request_table_a_caller_is_answered_twice(
@@ -262,7 +262,7 @@
     cell.run(2.0)
     cell.request("rueda/quote", "s0", wait=0.01, name="late")
     cell.run(2.0)
-    assert kinds(cell) == {"answer"}
+    assert violated(cell) == {"answer"}
 
 
 # -- The workers' capacity -------------------------------------------------------------------
@@ -280,11 +280,11 @@
 
 def test_freed_capacity_is_confirmed() -> None:
     cell = urgent_task_in_a_full_cell()
-    assert kinds(cell) == set()
+    assert violated(cell) == set()
     assert cell.truth.starts["rush"] == 1
 
 
 def test_without_confirmation_a_vm_is_over_committed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("sablemount.core.tables.VmRow.has_room", lambda self, shape: True)
     monkeypatch.setattr(FakeWorker, "_command", lambda self, run, kind: None)
-    assert "capacity" in kinds(urgent_task_in_a_full_cell())
+    assert "capacity" in violated(urgent_task_in_a_full_cell())
