--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -1,4 +1,4 @@
-"""The whole path in virtual time, without faults."""
+"""Requests, tasks and services from publication to their outcome, without faults."""
 
 import pytest
 
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""A seeded part of the fault matrix, and every cell that has failed before."""
+"""A seeded sample of the fault matrix, and all cells that once failed."""
 
 import random
 
@@ -6,31 +6,31 @@
 
 from tests.matrix import STEPS, Cell, pairs, run_cell, singles
 
-SAMPLE = 40
+SAMPLE_CELLS = 40
 
 FAILED_BEFORE = [
-    # A late batch of a former incarnation moved the sequence of the present one.
+    # A late batch of a previous incarnation advanced the sequence of the current one.
     ("hand over", "release delivered", "late writes", "lost append answers", 0.4),
     ("hand over", "release sent", "late writes", "lost append answers", 3.0),
-    # An owner that woke from a pause started on a VM that had begun to leave meanwhile.
+    # An owner that resumed after a pause started a run on a VM that had begun to drain meanwhile.
     ("request", "serve delivered", "slow log", "lapsed lease", 3.0),
-    # A ledger taken from a peer left rows of the old one in the queue.
+    # After a peer's ledger was installed, rows of the previous ledger stayed in the queue.
     ("keyed request", "spend sent", "slow log", "", 0.0),
-    # A cancelled task was called not run although it had run before.
+    # A cancelled task got the verdict NOT_RUN although it had run before.
     ("finish", "record sent", "crash", "", 0.0),
-    # A task waited for ever in a shard without a VM that could hold it.
+    # A task waited for ever in a shard without any VM large enough for it.
     ("drain", "record delivered", "VM failure", "", 0.0),
-    # One lost poll answer hid that a VM was leaving.
+    # After one lost poll answer, the scheduler did not learn that a VM was draining.
     ("publish", "record sent", "lost answer", "", 0.0),
-    # A start went out to a VM that had begun to leave while its intent was on its way.
+    # A start was sent to a VM that had begun to drain while the intent was being logged.
     ("place once", "intent in flight", "crash", "cut from the log", 3.0),
-    # A task that did not fit was never moved, since nothing was ever freed in its shard.
+    # A task that did not fit was never moved, as no capacity was ever freed in its shard.
     ("submit", "accept sent", "lapsed lease", "slow log", 0.0),
-    # Two members that heard each other no more took each other's shards without end.
+    # Two members without each other's heartbeats claimed each other's shards endlessly.
     ("place once", "start sent", "cut from the peers", "cut from the peers", 0.0),
-    # Schedulers that had their ledger from peers never ended their bootstrap from a silent log.
+    # Schedulers with a ledger from peers never ended their bootstrap while the log was silent.
     ("drain", "record in flight", "crash", "log outage", 0.0),
-    # A member that an owner did not know of could not take over after a crash in an outage.
+    # A member unknown to an owner could not take over after a crash during an outage.
     ("place once", "start sent", "log outage", "crash", 0.4),
 ]
 
@@ -49,7 +49,7 @@
 
 def sample() -> list[Cell]:
     rng = random.Random(7)
-    return rng.sample(singles(), SAMPLE) + rng.sample(pairs(), SAMPLE)
+    return rng.sample(singles(), SAMPLE_CELLS) + rng.sample(pairs(), SAMPLE_CELLS)
 
 
 @pytest.mark.parametrize("cell", sample(), ids=Cell.describe)
