--- a/benchmarks/bench.py
+++ b/benchmarks/bench.py
@@ -1,7 +1,7 @@
-"""All benchmarks with their bounds, as ratios within this run.
+"""Run all benchmarks and check their bounds, most of them ratios within the same run.
 
-Prints every figure that the pages quote and exits 1 if a bound is broken. No part of the tests'
-verdict.
+Prints every figure that the documentation quotes, and exits with 1 if a bound is violated. The
+test suite does not depend on the result.
 """
 
 import sys
@@ -28,37 +28,37 @@
 
 CONNECTIONS = 16
 ROUNDS = 3
-DECISIONS = 20_000
+DECISION_COUNT = 20_000
 HEADER = "| path | requests/s | p50 ms | p99 ms | bad |\n|---|---|---|---|---|"
 SERVED = Served(b"", "vm")
 
 
 class Bound(msgspec.Struct, frozen=True):
-    """A figure that must not be below or above a limit."""
+    """A figure with a lower or an upper bound."""
 
     name: str
     value: float
-    least: float = float("-inf")
-    most: float = float("inf")
+    minimum: float = float("-inf")
+    maximum: float = float("inf")
 
     @property
     def holds(self) -> bool:
-        """Tell whether the bound holds."""
-        return self.least <= self.value <= self.most
+        """Return whether the figure is within its bounds."""
+        return self.minimum <= self.value <= self.maximum
 
     def __str__(self) -> str:
-        limit = f">= {self.least:g}" if self.least > float("-inf") else f"<= {self.most:g}"
+        limit = f">= {self.minimum:g}" if self.minimum > float("-inf") else f"<= {self.maximum:g}"
         return f"{'ok  ' if self.holds else 'FAIL'} {self.name}: {self.value:.3g} ({limit})"
 
 
-def _show(name: str, figures: Figures) -> None:
+def _print_row(name: str, figures: Figures) -> None:
     print(
         f"| {name} | {figures.rate:.0f} | {figures.p50:.2f} | {figures.p99:.2f} | {figures.bad} |"
     )
 
 
 def request_path() -> list[Bound]:
-    """Measure one scheduler process against direct calls, and the clients against each other."""
+    """Compare one scheduler process with direct calls, and the HTTP clients with each other."""
     print(f"\n## Request path\n\n{HEADER}")
     ratios, added = [], []
     bench = RequestBench(1)
@@ -67,26 +67,28 @@
         for number in range(ROUNDS):
             direct = load(bench.direct(), CONNECTIONS)
             through = load(bench.through(), CONNECTIONS)
-            alone = load(bench.direct(), 1)
-            behind = load(bench.through(), 1)
-            _show(f"direct, 16 connections, round {number + 1}", direct)
-            _show(f"through one scheduler, round {number + 1}", through)
-            _show("direct, one at a time", alone)
-            _show("through, one at a time", behind)
+            direct_single = load(bench.direct(), 1)
+            through_single = load(bench.through(), 1)
+            _print_row(f"direct, 16 connections, round {number + 1}", direct)
+            _print_row(f"through one scheduler, round {number + 1}", through)
+            _print_row("direct, one at a time", direct_single)
+            _print_row("through, one at a time", through_single)
             ratios.append(through.rate / direct.rate)
-            added.append(behind.p50 - alone.p50)
+            added.append(through_single.p50 - direct_single.p50)
         for name, figures in compare_clients(bench.workers[0], CONNECTIONS).items():
-            _show(name, figures)
+            _print_row(name, figures)
     finally:
         bench.close()
     return [
-        Bound("throughput through one process, of direct", float(numpy.median(ratios)), least=0.4),
-        Bound("added p50, one at a time, ms", float(numpy.median(added)), most=2.0),
+        Bound(
+            "throughput through one process, of direct", float(numpy.median(ratios)), minimum=0.4
+        ),
+        Bound("added p50, one at a time, ms", float(numpy.median(added)), maximum=2.0),
     ]
 
 
 def scaling() -> list[Bound]:
-    """Measure one, two and four scheduler processes."""
+    """Measure the throughput of one, two and four scheduler processes."""
     print(f"\n## Scheduler processes\n\n{HEADER}")
     rates = {}
     for count in (1, 2, 4):
@@ -96,25 +98,25 @@
             figures = spread_load(bench.through(), CONNECTIONS, 3)
         finally:
             bench.close()
-        _show(f"{count} schedulers", figures)
+        _print_row(f"{count} schedulers", figures)
         rates[count] = figures.rate
-    return [Bound("throughput of two processes, of one", rates[2] / rates[1], least=1.4)]
+    return [Bound("throughput of two processes, of one", rates[2] / rates[1], minimum=1.4)]
 
 
 def decisions() -> list[Bound]:
-    """Measure the core's decisions alone."""
+    """Measure the time of the core's decisions, without input or output."""
     solo = Solo(make_facts(24, halls=4), CoreSettings(shards=3))
     solo.run(3.0)
     solo.publish(QUOTE)
     begun = time.perf_counter()
-    for index in range(DECISIONS):
+    for index in range(DECISION_COUNT):
         arrival = events.RequestArrived(f"r{index}", "rueda/quote", solo.now + 10)
         (serve,) = solo.core.handle(arrival, solo.now)
         assert isinstance(serve, actions.Serve)
         ended = events.RequestEnded(arrival.request, serve.vm, None, True, 0.01, SERVED)
         solo.core.handle(ended, solo.now)
-    took = (time.perf_counter() - begun) / DECISIONS * 1e6
-    print(f"\n## Decisions\n\nrequest, arrival to answer, core alone: {took:.1f} us")
+    decision_us = (time.perf_counter() - begun) / DECISION_COUNT * 1e6
+    print(f"\n## Decisions\n\nrequest, arrival to answer, core alone: {decision_us:.1f} us")
     small = placement.measure(3_000, 13_750)
     large = placement.measure(24_000, 110_000)
     for figures in (small, large):
@@ -124,22 +126,22 @@
             f"{figures.vm_bytes:.0f} bytes a VM and {figures.task_bytes:.0f} a task"
         )
     return [
-        Bound("placements a second at 24,000 VMs", large.per_second, least=5_000),
-        Bound("p99 of a placement at 24,000 VMs, us", large.p99, most=2_000),
-        Bound("placement time at 24,000 VMs, of 3,000", large.p50 / small.p50, most=2.0),
+        Bound("placements a second at 24,000 VMs", large.per_second, minimum=5_000),
+        Bound("p99 of a placement at 24,000 VMs, us", large.p99, maximum=2_000),
+        Bound("placement time at 24,000 VMs, of 3,000", large.p50 / small.p50, maximum=2.0),
     ]
 
 
 def recoveries() -> list[Bound]:
-    """Measure take-over, outages, revisions and drains."""
+    """Measure takeovers, outages of the log, revisions, drains and appends."""
     print("\n## Recovery\n")
-    found = recovery.measure_all()
+    spreads = recovery.measure_all()
     return [
-        Bound("take-over after a crash, s", found["crash_take_over"].high, most=7.4),
-        Bound("starts in an outage, of normal", found["outage_share"].low, least=0.9),
-        Bound("revision everywhere, slow log, s", found["revision_slow"].high, most=19.0),
-        Bound("drain, s", found["drain_time"].high, most=3.0),
-        Bound("appends in calm, /s", found["appends_calm"].high, most=1.0),
+        Bound("take-over after a crash, s", spreads["crash_take_over"].high, maximum=7.4),
+        Bound("starts in an outage, of normal", spreads["outage_share"].low, minimum=0.9),
+        Bound("revision everywhere, slow log, s", spreads["revision_slow"].high, maximum=19.0),
+        Bound("drain, s", spreads["drain_time"].high, maximum=3.0),
+        Bound("appends in calm, /s", spreads["appends_calm"].high, maximum=1.0),
     ]
 
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery figures in virtual time: take-over, outages, revisions, drains, appends."""
+"""Recovery measured in virtual time: takeovers, log outages, revisions, drains and appends."""
 
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
@@ -18,7 +18,7 @@
 MEMBERS = 6
 VMS = 24
 SHARDS = 12
-OUTAGE = 600.0
+OUTAGE_S = 600.0
 QUOTE = TemplateDocument("rueda", "quote", Kind.REQUEST, PriorityClass.URGENT, Shape(slots=1))
 TASK = TemplateDocument(
     "yard", "claims", Kind.TASK, PriorityClass.BATCH, Shape(cores=4), expected_seconds=5.0
@@ -28,7 +28,7 @@
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """Median and range of a figure over the seeds."""
+    """The median and the range of a figure over the seeds."""
 
     median: float
     low: float
@@ -46,37 +46,37 @@
     return cell
 
 
-def _settle_after(cell: VirtualCell) -> float:
+def _time_until_settled(cell: VirtualCell) -> float:
     cell.run(0.1)
     return 0.1 + cell.run_until(cell.settled, 60.0)
 
 
 def crash_take_over(seed: int) -> float:
-    """Seconds from a crash until every shard is open again."""
+    """Return the time from a crash until every shard is open again, in seconds."""
     cell = _cell(seed)
     cell.crash("s1")
-    return _settle_after(cell)
+    return _time_until_settled(cell)
 
 
 def pause_take_over(seed: int) -> float:
-    """Seconds from the start of a long pause until every shard is open at another member."""
+    """Return the time from the start of a pause until all shards are open elsewhere, in s."""
     cell = _cell(seed)
     cell.pause("s1", 30.0)
-    return _settle_after(cell)
+    return _time_until_settled(cell)
 
 
 def crash_with_vm_take_over(seed: int) -> float:
-    """Seconds until every shard is open when a VM of the crashed owner dies with it."""
+    """Return the time until every shard is open after an owner and one of its VMs fail."""
     cell = _cell(seed)
     core = cell.members["s1"].core.state
     vm = next(vm for shard in core.held for vm in core.shard_vms[shard])
     cell.crash("s1")
     cell.workers[vm].fail()
-    return _settle_after(cell)
+    return _time_until_settled(cell)
 
 
 def planned_gap(seed: int) -> float:
-    """Longest time for which a shard had no active owner during a planned stop."""
+    """Return the longest time without an active owner of a shard during a planned stop."""
     cell = _cell(seed)
     cell.members["s1"].take(events.StopRequested())
     longest, gaps = 0.0, dict.fromkeys(range(SHARDS), 0.0)
@@ -95,20 +95,20 @@
 
 
 def quotes_lost(seed: int) -> float:
-    """Quotes without an answer after a scheduler was killed under 300 quotes a second."""
+    """Return how many quotes fail if a scheduler is killed at 300 quotes per second."""
     cell = _cell(seed)
-    asked: dict[str, str] = {}
+    requested: dict[str, str] = {}
 
-    def ask(index: int) -> None:
+    def request_quote(index: int) -> None:
         member = cell.live()[index % len(cell.live())].name
-        asked[cell.request("rueda/quote", member, name=f"q{index}")] = member
+        requested[cell.request("rueda/quote", member, name=f"q{index}")] = member
 
     for index in range(3_000):
-        cell.after(index / 300, lambda index=index: ask(index))  # type: ignore[misc]
+        cell.after(index / 300, lambda index=index: request_quote(index))  # type: ignore[misc]
     cell.after(5.0, lambda: cell.crash("s1"))
     cell.run(15.0)
-    good = sum(result.is_ok() for result in cell.answers.values())  # type: ignore[attr-defined]
-    return len(asked) - good
+    succeeded = sum(result.is_ok() for result in cell.answers.values())  # type: ignore[attr-defined]
+    return len(requested) - succeeded
 
 
 def _starts(cell: VirtualCell, seconds: float) -> int:
@@ -123,57 +123,57 @@
     cell.run(30.0)
 
 
-def outage_share(seed: int, silent: bool = False) -> float:
-    """Starts in a 10-minute log outage as a share of the starts in as long a calm."""
+def outage_share(seed: int, with_crash: bool = False) -> float:
+    """Return the rate of starts in a 10-minute log outage as a share of the rate without one."""
     cell = _cell(seed)
     _backlog(cell)
     normal = _starts(cell, 60.0) / 60.0
     cell.log.mode = LogMode.DOWN
-    if silent:
+    if with_crash:
         cell.after(60.0, lambda: cell.crash("s1"))
-    return _starts(cell, OUTAGE) / OUTAGE / normal
+    return _starts(cell, OUTAGE_S) / OUTAGE_S / normal
 
 
 def outage_share_silent(seed: int) -> float:
-    """Return the same with a member that dies after a minute of the outage."""
-    return outage_share(seed, silent=True)
+    """Return the same share, with a member that crashes 60 s into the outage."""
+    return outage_share(seed, with_crash=True)
 
 
-def _in_force(cell: VirtualCell, expected: int) -> float:
+def _time_until_applied(cell: VirtualCell, expected: int) -> float:
     revised = msgspec.structs.replace(TASK, expected_seconds=4.0 + expected)
     cell.publish(revised, expected)
 
-    def everywhere() -> bool:
+    def applied_by_all() -> bool:
         rows = (m.core.state.ledger.documents["yard/claims"] for m in cell.live())
         return all(row.revision > expected for row in rows)
 
-    return cell.run_until(everywhere, 30.0)
+    return cell.run_until(applied_by_all, 30.0)
 
 
 def revision_calm(seed: int) -> float:
-    """Seconds until a revision is in force everywhere."""
-    return _in_force(_cell(seed), 1)
+    """Return the time until all members have applied a revision, in seconds."""
+    return _time_until_applied(_cell(seed), 1)
 
 
 def revision_slow(seed: int) -> float:
-    """Seconds until a revision is in force everywhere with a log that answers after 0.8 s."""
+    """Return the time until all members have applied a revision, if the log takes 0.8 s."""
     cell = _cell(seed)
     cell.log_delay = 0.4
     cell.run(5.0)
-    return _in_force(cell, 1)
+    return _time_until_applied(cell, 1)
 
 
 def revision_after_outage(seed: int) -> float:
-    """Seconds until a revision is in force everywhere, published as a 10-minute outage ends."""
+    """Return the time until all have applied a revision published after a 10-minute outage."""
     cell = _cell(seed)
     cell.log.mode = LogMode.DOWN
-    cell.run(OUTAGE)
+    cell.run(OUTAGE_S)
     cell.log.mode = LogMode.UP
-    return _in_force(cell, 1)
+    return _time_until_applied(cell, 1)
 
 
 def drain_time(seed: int) -> float:
-    """Seconds from an operator's drain until a VM with checkpointable tasks is empty."""
+    """Return the time from a drain until a VM with checkpointable tasks is empty, in seconds."""
     cell = _cell(seed)
     cell.submit("yard/long", "long", 40)
     cell.run(3.0)
@@ -190,19 +190,19 @@
 
 
 def appends_calm(seed: int) -> float:
-    """Appends a second without work."""
+    """Return the appends per second without work."""
     return _appends(_cell(seed), 30.0)
 
 
 def appends_working(seed: int) -> float:
-    """Appends a second while a task starts and ends about each second."""
+    """Return the appends per second while about one task per second starts and ends."""
     cell = _cell(seed)
     _backlog(cell)
     return _appends(cell, 30.0)
 
 
 def appends_recovery(seed: int) -> float:
-    """Appends a second in the 10 s after a crash under the same work."""
+    """Return the appends per second in the 10 s after a crash under the same work."""
     cell = _cell(seed)
     _backlog(cell)
     cell.crash("s1")
@@ -228,8 +228,8 @@
 
 
 def measure_all(seeds: tuple[int, ...] = SEEDS) -> dict[str, Spread]:
-    """Measure everything over the seeds, print it as a table, and return it by name."""
-    found = {}
+    """Measure all figures with each seed, print them as a table, and return them by name."""
+    spreads = {}
     print(f"| figure ({MEMBERS} members, {VMS} VMs, {SHARDS} shards) | median (range) |")
     print("|---|---|")
     with ProcessPoolExecutor() as pool:
@@ -237,9 +237,9 @@
         measured = [[future.result() for future in futures] for futures in running]
     for (title, unit, measure), values in zip(FIGURES, measured, strict=True):
         spread = Spread(float(numpy.median(values)), min(values), max(values))
-        found[measure.__name__] = spread
+        spreads[measure.__name__] = spread
         print(f"| {title} | {spread} {unit} |", flush=True)
-    return found
+    return spreads
 
 
 if __name__ == "__main__":
--- a/benchmarks/request_path.py
+++ b/benchmarks/request_path.py
@@ -1,7 +1,7 @@
 """The request path over real sockets: throughput and added latency of scheduler processes.
 
-Stand-ins, daemons and load each run in processes of their own. ``direct`` calls the stand-in
-workers from the same load process, over the same kind of kept connections.
+Stand-ins, daemons and load generators each run in processes of their own. ``direct`` calls the
+stand-in workers from the same load process, over the same kind of persistent connections.
 """
 
 import asyncio
@@ -30,12 +30,12 @@
 
 LOOPBACK = "127.0.0.1"
 PATH = "/v1/requests/rueda-andina/quote"
-SECONDS = 3.0
+LOAD_S = 3.0
 BODY = b'{"from": "laureles", "to": "envigado", "parcels": 2}'
 
 
 class Figures(msgspec.Struct, frozen=True):
-    """Requests a second, latency in milliseconds, and answers that were not good."""
+    """Requests per second, latency in milliseconds, and the number of wrong or failed answers."""
 
     rate: float
     p50: float
@@ -43,8 +43,8 @@
     bad: int
 
 
-def load(targets: list[tuple[str, str]], connections: int, seconds: float = SECONDS) -> Figures:
-    """Load addresses and paths over kept connections and return what was measured."""
+def load(targets: list[tuple[str, str]], connections: int, seconds: float = LOAD_S) -> Figures:
+    """Send requests to the targets over persistent connections, and return the figures."""
     return asyncio.run(_load(targets, connections, seconds))
 
 
@@ -68,14 +68,14 @@
 
     begun = time.perf_counter()
     await asyncio.gather(*(caller(number) for number in range(connections)))
-    passed = time.perf_counter() - begun
+    elapsed = time.perf_counter() - begun
     pool.close()
     p50, p99 = numpy.percentile(latencies, [50, 99]) * 1000
-    return Figures(len(latencies) / passed, float(p50), float(p99), bad)
+    return Figures(len(latencies) / elapsed, float(p50), float(p99), bad)
 
 
 class RequestBench:
-    """Stand-ins and daemons in processes, started and ended here."""
+    """Starts and ends the processes of stand-ins and daemons."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
             facts += self._standin(arguments)
         self.workers = [row["address"] for row in facts]
         self._platform: str = self._standin(["platform"], facts)
-        self._daemons_from = len(self._processes)
+        self._first_daemon = len(self._processes)
         ports = [(free_port(), free_port()) for _ in range(schedulers)]
         self.schedulers = [f"{LOOPBACK}:{http}" for http, _ in ports]
         peers = tuple(
@@ -119,35 +119,35 @@
         command = [sys.executable, "-m", "sablemount.daemon", str(path)]
         self._processes.append(subprocess.Popen(command))
 
-    def _standin(self, arguments: list[str], listed: object = None) -> Any:
-        """Start a process of stand-ins and return what it prints."""
+    def _standin(self, arguments: list[str], input_value: object = None) -> Any:
+        """Start a process of stand-ins and return the JSON value that it prints."""
         command = [sys.executable, "-m", "benchmarks.standin", *arguments]
         process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         self._processes.append(process)
         assert process.stdin is not None
         assert process.stdout is not None
-        if listed is not None:
-            process.stdin.write(json.dumps(listed).encode() + b"\n")
+        if input_value is not None:
+            process.stdin.write(json.dumps(input_value).encode() + b"\n")
             process.stdin.flush()
         return json.loads(process.stdout.readline())
 
     @property
     def daemons(self) -> list[int]:
         """Return the process ids of the daemons."""
-        return [process.pid for process in self._processes[self._daemons_from :]]
+        return [process.pid for process in self._processes[self._first_daemon :]]
 
     def prepare(self) -> None:
-        """Publish the documents and wait until every scheduler serves."""
+        """Publish the documents, and wait until every scheduler answers requests."""
         client = httpclient.HTTPClient()
         end = time.monotonic() + 30.0
         for document in demo_documents():
             body = msgspec.json.encode({"document": document})
             url = f"http://{self.schedulers[0]}/v1/documents/{document_key(document)}"
-            _until(lambda u=url, b=body: client.fetch(u, method="PUT", body=b), end)
+            _retry_until(lambda u=url, b=body: client.fetch(u, method="PUT", body=b), end)
         time.sleep(3.0)
         for address in self.schedulers:
             url = f"http://{address}{PATH}"
-            _until(lambda u=url: client.fetch(u, method="POST", body=BODY), end)
+            _retry_until(lambda u=url: client.fetch(u, method="POST", body=BODY), end)
         client.close()
 
     def direct(self) -> list[tuple[str, str]]:
@@ -159,14 +159,14 @@
         return [(address, PATH) for address in self.schedulers]
 
     def close(self) -> None:
-        """End the processes that were started here."""
+        """Kill all processes of this benchmark."""
         for process in reversed(self._processes):
             process.kill()
             process.wait()
         self._folder.cleanup()
 
 
-def _until(call: Callable[[], object], end: float) -> None:
+def _retry_until(call: Callable[[], object], end: float) -> None:
     while True:
         try:
             call()
@@ -178,22 +178,22 @@
 
 
 def spread_load(
-    targets: list[tuple[str, str]], connections: int, processes: int, seconds: float = SECONDS
+    targets: list[tuple[str, str]], connections: int, processes: int, seconds: float = LOAD_S
 ) -> Figures:
-    """Load targets from several processes at once and return the sum of their rates."""
+    """Load the targets from several processes at once, and return their combined figures."""
     with ProcessPoolExecutor(processes) as pool:
         futures = [pool.submit(load, targets, connections, seconds) for _ in range(processes)]
-        parts = [future.result() for future in futures]
+        results = [future.result() for future in futures]
     return Figures(
-        sum(part.rate for part in parts),
-        float(numpy.median([part.p50 for part in parts])),
-        max(part.p99 for part in parts),
-        sum(part.bad for part in parts),
+        sum(part.rate for part in results),
+        float(numpy.median([part.p50 for part in results])),
+        max(part.p99 for part in results),
+        sum(part.bad for part in results),
     )
 
 
-def compare_clients(address: str, connections: int, seconds: float = SECONDS) -> dict[str, Figures]:
-    """Return what tornado's two clients and the kept connections reach against one worker."""
+def compare_clients(address: str, connections: int, seconds: float = LOAD_S) -> dict[str, Figures]:
+    """Measure tornado's two clients and the persistent connections against one worker."""
     return {
         "simple client": asyncio.run(
             _load_client(simple_httpclient.SimpleAsyncHTTPClient, address, connections, seconds)
