--- a/benchmarks/cellproc.py
+++ b/benchmarks/cellproc.py
@@ -1,4 +1,4 @@
-"""A whole cell over real sockets in one process: platform, workers and schedulers."""
+"""A cell over real sockets in one process: stand-ins of the platform and workers, schedulers."""
 
 import asyncio
 import itertools
@@ -25,10 +25,10 @@
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on.
+    """Return a port on which no socket listens.
 
-    It lies below the range from which the kernel takes the ports of outgoing connections, so
-    none of those can take it before its server does.
+    It lies below the range of ephemeral ports, so that no outgoing connection can occupy it before
+    the server binds it.
     """
     while True:
         port = FIRST_PORT + next(_ports) % (LAST_PORT - FIRST_PORT)
@@ -41,7 +41,7 @@
 
 
 class Node:
-    """One scheduler with its HTTP server."""
+    """A scheduler with its HTTP server."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -54,20 +54,20 @@
         return self.settings.listen
 
     async def start(self) -> None:
-        """Listen and start."""
+        """Listen, and start the scheduler."""
         host, _, port = self.settings.listen.rpartition(":")
         self.server.listen(int(port), host)
         await self.runtime.start()
 
     async def close(self) -> None:
-        """Stop listening and end."""
+        """Stop listening, and close the scheduler and all connections."""
         self.server.stop()
         await self.runtime.close()
         await self.server.close_all_connections()
 
 
 class Cell:
-    """The stand-ins and a number of schedulers."""
+    """The stand-ins and the schedulers of a cell."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
         return sum(1 for shard in held if shard.opened)
 
     async def close(self) -> None:
-        """End everything."""
+        """Close all schedulers."""
         for node in self.nodes:
             await node.close()
 
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -1,6 +1,6 @@
-"""The demo: a cell on the loopback address, from publication to drain, through the daemon's code.
+"""The demo: a cell on the loopback address that runs the daemon's code, from publication to drain.
 
-Prints a summary and exits 1 if an invariant was broken or a step did not come about.
+Prints a summary, and exits with 1 if an invariant was violated or a step did not complete.
 """
 
 import asyncio
@@ -22,21 +22,21 @@
 CALLERS = 24
 ROUTE_PLANS = 16
 TRANSFERS = 8
-STEP_LIMIT = 60.0
+STEP_LIMIT_S = 60.0
 
 
 class _Summary:
-    """What the demo measured."""
+    """The measurements of the demo."""
 
     def __init__(self) -> None:
         self.verdicts: Counter[str] = Counter()
         self.latencies: list[float] = []
-        self.wrong = 0
+        self.wrong_answers = 0
         self.packing: list[float] = []
         self.lines: list[str] = []
 
     def step(self, text: str) -> None:
-        """Print and keep one line."""
+        """Print a line and append it to the summary."""
         print(text, flush=True)
         self.lines.append(text)
 
@@ -52,12 +52,12 @@
 
 async def _quotes(cell: Cell, summary: _Summary) -> None:
     started = time.monotonic()
-    left = iter(range(QUOTES))
+    remaining = iter(range(QUOTES))
 
     async def caller(number: int) -> None:
         client = httpclient.AsyncHTTPClient()
         address = cell.nodes[number % len(cell.nodes)].address
-        for index in left:
+        for index in remaining:
             template = f"{RUEDA}/quote" if index % 3 else f"{YARD}/shelf-lookup"
             body = f"question {index}".encode()
             begun = time.monotonic()
@@ -69,8 +69,8 @@
             )
             summary.latencies.append(time.monotonic() - begun)
             summary.verdicts[response.headers.get("Sablemount-Verdict", "none")] += 1
-            whole = response.body == b"quote for " + body
-            summary.wrong += response.code == 200 and not whole
+            correct = response.body == b"quote for " + body
+            summary.wrong_answers += response.code == 200 and not correct
 
     await asyncio.gather(*(caller(number) for number in range(CALLERS)))
     rate = QUOTES / (time.monotonic() - started)
@@ -88,7 +88,7 @@
 
 
 async def _tasks_done(cell: Cell, summary: _Summary) -> None:
-    limit = time.monotonic() + STEP_LIMIT
+    limit = time.monotonic() + STEP_LIMIT_S
     while time.monotonic() < limit:
         rows = []
         for job in ("plans", "moves"):
@@ -98,7 +98,7 @@
             summary.step(f"tasks ended, read from another scheduler: {dict(counts)}")
             return
         await asyncio.sleep(0.1)
-    raise AssertionError("the tasks did not end")
+    raise AssertionError("the tasks did not end within the limit")
 
 
 async def _revise(cell: Cell, summary: _Summary) -> None:
@@ -129,7 +129,7 @@
     await cell.call(2, "POST", f"/v1/vms/{vm}/drain", {"drain": True})
     target.worker.left_since = time.monotonic()
     while any(run.shape.cores for run in target.worker.runs.values()):
-        assert time.monotonic() - begun < STEP_LIMIT, "the VM was not drained"
+        assert time.monotonic() - begun < STEP_LIMIT_S, "the VM was not drained within the limit"
         await asyncio.sleep(0.02)
     summary.step(f"{vm} drained in {time.monotonic() - begun:.2f} s")
 
@@ -146,7 +146,7 @@
         await asyncio.sleep(0.1)
 
 
-def _control(cell: Cell, seconds: float) -> float:
+def _control_bytes_per_second(cell: Cell, seconds: float) -> float:
     total = sum(node.runtime.meter.total("control_bytes") for node in cell.nodes)
     return total / seconds / len(cell.workers)
 
@@ -169,12 +169,14 @@
     sampler.cancel()
     seconds = time.monotonic() - begun
     p50, p99 = numpy.percentile(summary.latencies, [50, 99]) * 1000
-    violations = cell.truth.violations + ["a wrong answer"] * summary.wrong
+    violations = cell.truth.violations + ["a wrong answer"] * summary.wrong_answers
     print(f"\nverdicts                {dict(summary.verdicts)}")
     print(f"latency p50 / p99       {p50:.1f} ms / {p99:.1f} ms")
     peak, mean = max(summary.packing), numpy.mean(summary.packing)
     print(f"packing of VMs in use   {peak:.0%} at the peak, {mean:.0%} on average")
-    print(f"control traffic         {_control(cell, seconds):.0f} bytes/s a worker")
+    print(
+        f"control traffic         {_control_bytes_per_second(cell, seconds):.0f} bytes/s a worker"
+    )
     print(f"violated invariants     {len(violations)}")
     await cell.close()
     for violation in violations[:5]:
--- a/benchmarks/documents.py
+++ b/benchmarks/documents.py
@@ -1,4 +1,4 @@
-"""Documents of the two deployments, as the demo and the benchmarks use them."""
+"""The documents of two organisations that the demo and the benchmarks publish."""
 
 from sablemount.core.documents import (
     Document,
@@ -19,7 +19,7 @@
 
 
 def demo_documents() -> list[Document]:
-    """Return the documents of both organisations."""
+    """Return the documents of both organisations, in order of publication."""
     return [
         OrganisationDocument(RUEDA, weight=2.0, quota=Quota(cores=128)),
         OrganisationDocument(YARD, weight=1.0, quota=Quota(cores=96)),
--- a/benchmarks/procs.py
+++ b/benchmarks/procs.py
@@ -1,4 +1,4 @@
-"""A cell whose schedulers are real daemon processes; the stand-ins run in the calling process."""
+"""A cell whose schedulers are daemon processes; the stand-ins run in the calling process."""
 
 import asyncio
 import json
@@ -21,21 +21,21 @@
 __all__ = ["DaemonCell", "wait_until"]
 
 HALLS = ("sala-norte", "sala-sur", "envigado", "bello")
-CALL_TIMEOUT = 15.0
+CALL_TIMEOUT_S = 15.0
 
 
 async def wait_until(condition: Any, limit: float = 30.0) -> float:
-    """Wait until an awaitable condition holds, and return how long it took in seconds."""
+    """Wait until an awaitable condition holds, and return the time taken, in seconds."""
     begun = time.monotonic()
     while not await condition():
         if time.monotonic() - begun > limit:
-            raise TimeoutError("the condition did not come to hold")
+            raise TimeoutError("the condition did not hold within the limit")
         await asyncio.sleep(0.05)
     return time.monotonic() - begun
 
 
 class DaemonCell:
-    """Starts, pauses, kills and stops daemons, by process id."""
+    """Starts daemons, sends them signals, and calls their HTTP interface."""
 
     def __init__(
         self,
@@ -89,11 +89,11 @@
         await wait_until(self.settled)
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to one daemon that was started here."""
+        """Send a signal to a daemon of this cell."""
         self.processes[name].send_signal(number)
 
     async def settled(self) -> bool:
-        """Tell whether all daemons answer and every shard is active at one of them."""
+        """Return whether all running daemons answer and every shard is active at one of them."""
         active = set()
         for name, process in self.processes.items():
             if process.poll() is not None:
@@ -105,9 +105,9 @@
         return len(active) == self.core.shards
 
     async def call(
-        self, name: str, method: str, path: str, body: Any = None, timeout: float = CALL_TIMEOUT
+        self, name: str, method: str, path: str, body: Any = None, timeout: float = CALL_TIMEOUT_S
     ) -> Any:
-        """Call a scheduler; ``None`` if it does not answer."""
+        """Call a scheduler; return the decoded answer, or ``None`` if there was none."""
         try:
             response = await self.client.fetch(
                 f"http://{self.address(name)}{path}",
@@ -133,7 +133,7 @@
             assert answer["revision"] == 1, answer
 
     async def wait_stopped(self, name: str, limit: float = 30.0) -> int:
-        """Wait for one daemon's end and return its exit code."""
+        """Wait until a daemon has exited, and return its exit code."""
         process = self.processes[name]
 
         async def ended() -> bool:
@@ -143,7 +143,7 @@
         return process.returncode
 
     def close(self) -> None:
-        """Kill what still runs of the daemons started here."""
+        """Kill the daemons that are still running, and stop the stand-ins."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
