--- a/benchmarks/matrix.py
+++ b/benchmarks/matrix.py
@@ -1,4 +1,4 @@
-"""Runs the whole fault matrix over the machine's cores and prints its table."""
+"""Run the complete fault matrix on all cores of the machine and print the results."""
 
 import concurrent.futures
 import os
@@ -10,7 +10,7 @@
 
 __all__ = ["main"]
 
-SHOWN = 20
+MAX_PRINTED_FAILURES = 20
 
 
 def _run_all(cells: list[Cell]) -> list[CellResult]:
@@ -31,8 +31,8 @@
     for fault in FAULTS:
         row = []
         for flow in flows:
-            good, bad = counts[fault, flow, True], counts[fault, flow, False]
-            row.append(f"{good}/{good + bad}")
+            passed, failed = counts[fault, flow, True], counts[fault, flow, False]
+            row.append(f"{passed}/{passed + failed}")
         print(f"| {fault} | " + " | ".join(row) + " |")
 
 
@@ -45,13 +45,13 @@
         f"{seconds:.0f} s",
         flush=True,
     )
-    for result in failed[:SHOWN]:
+    for result in failed[:MAX_PRINTED_FAILURES]:
         print(f"  {result.cell.describe()}: {result.violations[:2]}")
     return len(failed)
 
 
 def main() -> None:
-    """Run the matrix; ``--singles`` leaves the pairs out."""
+    """Run the matrix; ``--singles`` omits the pairs of faults."""
     begun = time.monotonic()
     results = _run_all(singles())
     failed = _report("single faults", results, time.monotonic() - begun)
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,4 +1,4 @@
-"""Placement decisions at size: rate, time of each, and memory by VM and by task, on one core."""
+"""Placement at the target size, on one core: rate and time of decisions, memory per VM and task."""
 
 import gc
 import time
@@ -19,13 +19,13 @@
 
 __all__ = ["PlacementFigures", "measure", "resident_bytes"]
 
-PAGE = 4096
-WARM_JOB = 10_000
+PAGE_BYTES = 4096
+WARM_UP_JOB_TASKS = 10_000
 SHAPES = (Shape(cores=1, memory_mb=2048), Shape(cores=2, memory_mb=8192), Shape(cores=4))
 
 
 class PlacementFigures(msgspec.Struct, frozen=True):
-    """What placing cost with ``vms`` VMs and ``tasks`` running tasks; times in microseconds."""
+    """The cost of placement with ``vms`` VMs and ``tasks`` running tasks; times in microseconds."""
 
     vms: int
     tasks: int
@@ -39,7 +39,7 @@
 
 def resident_bytes() -> int:
     """Return the resident memory of this process."""
-    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE
+    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def _template(index: int, shape: Shape) -> TemplateDocument:
@@ -49,25 +49,25 @@
 
 
 def measure(vms: int, tasks: int, placements: int = 5_000, shards: int = 64) -> PlacementFigures:
-    """Fill a cell of one scheduler and time further placements in it."""
+    """Fill the VMs of one scheduler with tasks, and time further placements on them."""
     gc.collect()
-    empty = resident_bytes()
+    initial_bytes = resident_bytes()
     settings = CoreSettings(shards=shards, placements_per_tick=5_000)
     solo = Solo(make_facts(vms), settings)
     solo.run(3.0 + vms / 5_000)
     for index, shape in enumerate(SHAPES):
         solo.publish(_template(index, shape))
     gc.collect()
-    with_vms = resident_bytes()
+    bytes_with_vms = resident_bytes()
     submitted = 0
     while submitted < tasks:
-        count = min(WARM_JOB, tasks - submitted)
-        solo.submit(f"org/t{submitted // WARM_JOB % 3}", f"warm-{submitted}", count)
+        count = min(WARM_UP_JOB_TASKS, tasks - submitted)
+        solo.submit(f"org/t{submitted // WARM_UP_JOB_TASKS % 3}", f"warm-{submitted}", count)
         submitted += count
         solo.run(0.5)
     solo.run(2.0 + tasks / 40_000)
     gc.collect()
-    with_tasks = resident_bytes()
+    bytes_with_tasks = resident_bytes()
     running = len(solo.core.state.runs)
     rate, p50, p99 = _time_placements(solo, placements)
     poll_us = _time_polls(solo)
@@ -77,14 +77,14 @@
         rate,
         p50,
         p99,
-        (with_vms - empty) / vms,
-        (with_tasks - with_vms) / max(1, running),
+        (bytes_with_vms - initial_bytes) / vms,
+        (bytes_with_tasks - bytes_with_vms) / max(1, running),
         poll_us,
     )
 
 
 def _time_placements(solo: Solo, placements: int) -> tuple[float, float, float]:
-    """Time each decision, from the turn of a task to the start action."""
+    """Time each decision, from the selection of a group to the start action."""
     times: list[float] = []
     place_from_group = Placement._place_from_group
 
@@ -107,7 +107,7 @@
 
 
 def _time_polls(solo: Solo) -> float:
-    """Return the processor time that the core and the stand-in spend on one poll (microseconds)."""
+    """Return the processor time of the core and the stand-in per poll, in microseconds."""
     before, begun = solo.polls, time.process_time()
     solo.run(2.0)
     return (time.process_time() - begun) / max(1, solo.polls - before) * 1e6
--- a/benchmarks/solo.py
+++ b/benchmarks/solo.py
@@ -1,4 +1,4 @@
-"""One scheduler core against an instant log and instant workers, for timing the core alone."""
+"""A scheduler core with a log and workers that answer immediately, for timing the core alone."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 __all__ = ["Solo", "make_facts"]
 
 HALLS = 27
-RACK = 24
-STEP = 0.1
+VMS_PER_RACK = 24
+TICK_S = 0.1
 
 
-def make_facts(count: int, halls: int = HALLS, rack: int = RACK) -> list[VmFacts]:
-    """Return VMs of 16 cores and 64 GB; two in three have accelerators, as at the target size."""
+def make_facts(count: int, halls: int = HALLS, rack: int = VMS_PER_RACK) -> list[VmFacts]:
+    """Return VMs with 16 cores and 64 GB; two thirds have accelerators, as at the target size."""
     facts = []
     for index in range(count):
         hall = f"hall-{index % halls:02d}"
@@ -34,7 +34,7 @@
 
 
 class Solo:
-    """Carries out every action at once."""
+    """Performs every action of the core immediately."""
 
     def __init__(self, facts: list[VmFacts], settings: CoreSettings, seed: int = 1) -> None:
         self.now = 0.0
@@ -50,17 +50,17 @@
         self.take(events.VmListRead(tuple(facts)))
 
     def take(self, event: events.Event) -> None:
-        """Hand in an event, and all that follows from it."""
+        """Handle an event, and all events that result from it."""
         self._queue.append(event)
         while self._queue:
             for action in self.core.handle(self._queue.popleft(), self.now):
                 self._perform(action)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time, with a tick every ``TICK_S``."""
         end = self.now + seconds
         while self.now < end:
-            self.now += STEP
+            self.now += TICK_S
             self.take(events.Tick())
 
     def publish(self, document: Document) -> None:
@@ -69,7 +69,7 @@
         self.run(0.5)
 
     def submit(self, template: str, job: str, count: int) -> None:
-        """Submit a job."""
+        """Submit a job of ``count`` tasks."""
         self.take(events.JobSubmitted("c", job, template, count, {}, self.now + 10))
 
     def _perform(self, action: actions.Action) -> None:
