--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,7 +1,7 @@
-"""Slopes: how state, messages, processor time and memory grow, at four sizes or more each.
+"""Growth of state, messages, processor time and memory, each measured at four sizes or more.
 
-Prints every measured point, the fitted line and its largest residual, and what the lines give at
-the size to design for. Each point runs in a process of its own.
+Prints every measured point, the fitted lines with their largest residuals, and the values of the
+lines at the target size. Each point is measured in a process of its own.
 """
 
 import asyncio
@@ -33,12 +33,12 @@
 
 __all__ = ["main"]
 
-VMS = 24_000
-TASKS = 110_000
-MEMBERS = 9
-STARTS_PER_SECOND = 4_600
-TASKS_PER_VM = TASKS / VMS
-TICKS = os.sysconf("SC_CLK_TCK")
+TARGET_VMS = 24_000
+TARGET_TASKS = 110_000
+TARGET_MEMBERS = 9
+TARGET_STARTS_PER_S = 4_600
+TASKS_PER_VM = TARGET_TASKS / TARGET_VMS
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PLAN = TemplateDocument(
     "org", "plan", Kind.TASK, PriorityClass.BATCH, Shape(cores=2), expected_seconds=1e6
 )
@@ -46,38 +46,38 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One measured size, with its figures by name."""
+    """A measured size and its figures by name."""
 
     size: float
     figures: dict[str, float]
 
 
 class Line(msgspec.Struct, frozen=True):
-    """A fitted line and its largest residual as a share of the largest value."""
+    """A fitted line, and its largest residual as a share of the largest value."""
 
     slope: float
     constant: float
     residual: float
 
     def at(self, size: float) -> float:
-        """Return the line's value at a size."""
+        """Return the value of the line at a size."""
         return self.constant + self.slope * size
 
 
 def fit(points: list[Point], name: str) -> Line:
-    """Fit a line through one figure of the points."""
+    """Fit a line to one figure of the points by least squares."""
     sizes = numpy.array([point.size for point in points])
     values = numpy.array([point.figures[name] for point in points])
     slope, constant = numpy.polyfit(sizes, values, 1)
-    rest = numpy.abs(values - (constant + slope * sizes)).max()
-    return Line(float(slope), float(constant), float(rest / max(values.max(), 1e-12)))
+    residual = numpy.abs(values - (constant + slope * sizes)).max()
+    return Line(float(slope), float(constant), float(residual / max(values.max(), 1e-12)))
 
 
 # -- The core --------------------------------------------------------------------------------
 
 
 def owned_vms(vms: int) -> Point:
-    """Own VMs with running tasks: processor time a second, and memory."""
+    """Measure processor time per second and memory of a core that owns VMs with running tasks."""
     gc.collect()
     before = resident_bytes()
     settings = CoreSettings(shards=16, placements_per_tick=5_000)
@@ -98,7 +98,7 @@
 
 
 def started_tasks(count: int) -> Point:
-    """Take tasks from submission to their recorded end: processor time and log traffic."""
+    """Measure processor time and log traffic of tasks from submission to their recorded end."""
     solo = Solo(make_facts(1_500), CoreSettings(shards=16, placements_per_tick=5_000))
     solo.run(3.0)
     solo.publish(SHORT)
@@ -124,7 +124,7 @@
 
 
 def ledger_tasks(count: int) -> Point:
-    """Fold tasks that other schedulers own: time, memory, and size of a snapshot."""
+    """Measure time, memory and snapshot size of a ledger with tasks of other schedulers."""
     gc.collect()
     before = resident_bytes()
     ledger = Ledger(64)
@@ -154,7 +154,7 @@
 
 
 def published_documents(count: int) -> Point:
-    """Fold revisions: time and log bytes."""
+    """Measure processor time and log bytes of applying revisions."""
     ledger = Ledger(64)
     size = 0
     begun = time.process_time()
@@ -172,7 +172,7 @@
 
 
 def gossiping_members(members: int) -> Point:
-    """Let members gossip: messages and bytes a second of each, and appends of all."""
+    """Measure messages and bytes per second of each idle member, and appends of all members."""
     cell = VirtualCell(members=members, vms=12, settings=CoreSettings(shards=16))
     cell.run(10.0)
     sent = [0, 0]
@@ -197,7 +197,7 @@
 
 
 def daemon_workers(workers: int) -> Point:
-    """Run one daemon over sockets with four tasks a worker: processor time, memory, traffic."""
+    """Measure processor time, memory and traffic of a daemon with four tasks per worker."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(_daemon_workers(Path(folder), workers))
 
@@ -213,9 +213,9 @@
         before, sent = _cpu(pid), await _control_bytes(cell)
         begun = time.monotonic()
         await asyncio.sleep(8.0)
-        passed = time.monotonic() - begun
-        cpu = (_cpu(pid) - before) / passed
-        traffic = (await _control_bytes(cell) - sent) / passed
+        elapsed = time.monotonic() - begun
+        cpu = (_cpu(pid) - before) / elapsed
+        traffic = (await _control_bytes(cell) - sent) / elapsed
         return Point(workers, {"cpu s/s": cpu, "memory MB": _rss(pid), "bytes/s": traffic})
     finally:
         cell.close()
@@ -223,7 +223,7 @@
 
 def _cpu(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def _rss(pid: int) -> float:
@@ -254,7 +254,9 @@
 ]
 
 
-def _study(title: str, measure: Callable[[int], Point], sizes: tuple[int, ...]) -> dict[str, Line]:
+def _run_study(
+    title: str, measure: Callable[[int], Point], sizes: tuple[int, ...]
+) -> dict[str, Line]:
     print(f"\n{title}")
     points = []
     for size in sizes:
@@ -275,35 +277,38 @@
     return lines
 
 
-def _at_target(found: dict[str, dict[str, Line]]) -> None:
-    owned = VMS / MEMBERS
-    core = found["owned_vms"]
-    ledger = found["ledger_tasks"]
-    process = found["daemon_workers"]
-    starts = found["started_tasks"]
-    print(f"\nAt {VMS} VMs, {TASKS} tasks and {MEMBERS} schedulers, by the lines above")
+def _print_at_target(lines_by_study: dict[str, dict[str, Line]]) -> None:
+    owned = TARGET_VMS / TARGET_MEMBERS
+    core = lines_by_study["owned_vms"]
+    ledger = lines_by_study["ledger_tasks"]
+    process = lines_by_study["daemon_workers"]
+    starts = lines_by_study["started_tasks"]
+    print(
+        f"\nAt {TARGET_VMS} VMs, {TARGET_TASKS} tasks and {TARGET_MEMBERS} schedulers, "
+        "by the lines above"
+    )
     rows = [
         ("VMs a scheduler", f"{owned:.0f}"),
         ("polls a second, a scheduler", f"{core['polls/s'].at(owned):.0f}"),
         ("core, processor share", f"{core['core cpu s/s'].at(owned):.1%}"),
         ("whole process, processor share", f"{process['cpu s/s'].at(owned):.0%}"),
-        ("ledger, memory", f"{ledger['memory MB'].at(TASKS):.0f} MB"),
-        ("snapshot", f"{ledger['snapshot MB'].at(TASKS):.1f} MB"),
+        ("ledger, memory", f"{ledger['memory MB'].at(TARGET_TASKS):.0f} MB"),
+        ("snapshot", f"{ledger['snapshot MB'].at(TARGET_TASKS):.1f} MB"),
         ("control traffic a worker", f"{process['bytes/s'].slope:.0f} bytes/s"),
         ("control processor time a worker", f"{process['cpu s/s'].slope:.2%} of a core"),
         ("core time of one task", f"{starts['core cpu s'].slope * 1e6:.0f} us"),
         (
-            f"core at {STARTS_PER_SECOND} starts/s, a scheduler",
-            f"{starts['core cpu s'].slope * STARTS_PER_SECOND / MEMBERS:.0%}",
+            f"core at {TARGET_STARTS_PER_S} starts/s, a scheduler",
+            f"{starts['core cpu s'].slope * TARGET_STARTS_PER_S / TARGET_MEMBERS:.0%}",
         ),
         ("log bytes of one task", f"{starts['log bytes'].slope:.0f}"),
         (
-            f"log at {STARTS_PER_SECOND} starts/s",
-            f"{starts['log bytes'].slope * STARTS_PER_SECOND / 1e6:.2f} MB/s",
+            f"log at {TARGET_STARTS_PER_S} starts/s",
+            f"{starts['log bytes'].slope * TARGET_STARTS_PER_S / 1e6:.2f} MB/s",
         ),
         (
             "revisions of a day, log",
-            f"{found['published_documents']['log bytes'].at(7_100) / 1e6:.2f} MB",
+            f"{lines_by_study['published_documents']['log bytes'].at(7_100) / 1e6:.2f} MB",
         ),
     ]
     for name, value in rows:
@@ -311,9 +316,11 @@
 
 
 def main() -> None:
-    """Measure all slopes and print them."""
-    found = {measure.__name__: _study(title, measure, sizes) for title, measure, sizes in STUDIES}
-    _at_target(found)
+    """Measure all figures, and print the lines and their values at the target size."""
+    lines_by_study = {
+        measure.__name__: _run_study(title, measure, sizes) for title, measure, sizes in STUDIES
+    }
+    _print_at_target(lines_by_study)
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,7 +1,7 @@
-"""The soak: real daemons under load for two minutes, with kills, pauses and drains.
+"""Soak test: daemon processes under load for two minutes, with kills, pauses, stops and drains.
 
-The invariants are checked from the workers' and the callers' own records. Prints a summary and
-exits 1 on any violation.
+The invariants are checked against the records of the workers and the callers. Prints a summary,
+and exits with 1 on any violation.
 """
 
 import asyncio
@@ -21,14 +21,15 @@
 
 __all__ = ["main"]
 
-SECONDS = 120.0
-QUOTES_PER_SECOND = 60.0
-KEYED_EVERY = 1.0
-JOB_EVERY = 4.0
-FAULT_EVERY = 15.0
-DRAIN_EVERY = 25.0
-GRACE = 90.0
-BOUNDED = 4.0
+SOAK_S = 120.0
+QUOTES_PER_S = 60.0
+KEYED_INTERVAL_S = 1.0
+JOB_INTERVAL_S = 4.0
+FAULT_INTERVAL_S = 15.0
+DRAIN_INTERVAL_S = 25.0
+OUTCOME_TIMEOUT_S = 90.0
+"""Time after the load in which all accepted tasks must end."""
+EVICT_AFTER_S = 4.0
 QUOTE = TemplateDocument("rueda", "quote", Kind.REQUEST, PriorityClass.URGENT, Shape(slots=1))
 STOCK = TemplateDocument(
     "yard", "stock", Kind.REQUEST, PriorityClass.STANDARD, Shape(slots=1), repeatable=False
@@ -42,13 +43,13 @@
 
 
 class Soak:
-    """One soak: the cell, the load, the faults and what the callers saw."""
+    """A soak run: the cell, the load, the faults, and the answers that the callers received."""
 
     def __init__(self, cell: DaemonCell, seed: int) -> None:
         self.cell = cell
         self.rng = random.Random(seed)
-        self.end = time.monotonic() + SECONDS
-        self.seen: Counter[str] = Counter()
+        self.end = time.monotonic() + SOAK_S
+        self.answers: Counter[str] = Counter()
         self.faults: Counter[str] = Counter()
         self.jobs: dict[str, int] = {}
         self.callers: list[asyncio.Task[None]] = []
@@ -56,15 +57,15 @@
     # -- Callers -----------------------------------------------------------------------------
 
     async def quotes(self) -> None:
-        """Send quotes at random times to random schedulers."""
+        """Send quotes at random times to randomly chosen schedulers."""
         number = 0
         while time.monotonic() < self.end:
             number += 1
             self._spawn(self.call("rueda/quote", b"q%d" % number, {}))
-            await asyncio.sleep(self.rng.expovariate(QUOTES_PER_SECOND))
+            await asyncio.sleep(self.rng.expovariate(QUOTES_PER_S))
 
     async def keyed(self) -> None:
-        """Send the same key to two schedulers at once."""
+        """Send requests with the same key to two schedulers at the same time."""
         number = 0
         while time.monotonic() < self.end:
             number += 1
@@ -72,7 +73,7 @@
             body = b"key %d" % number
             for name in self.rng.sample(self.cell.names, 2):
                 self._spawn(self.call("yard/stock", body, key, name))
-            await asyncio.sleep(KEYED_EVERY)
+            await asyncio.sleep(KEYED_INTERVAL_S)
 
     def _spawn(self, coroutine: object) -> None:
         self.callers.append(asyncio.ensure_future(coroutine))  # type: ignore[arg-type]
@@ -80,7 +81,7 @@
     async def call(
         self, template: str, body: bytes, headers: dict[str, str], name: str = ""
     ) -> None:
-        """Send one request and check the answer against it."""
+        """Send a request, and check that the answer belongs to it and is complete."""
         name = name or self.rng.choice(self.cell.names)
         try:
             response = await self.cell.client.fetch(
@@ -92,15 +93,15 @@
                 raise_error=False,
             )
         except (OSError, httpclient.HTTPError):
-            self.seen["no scheduler"] += 1
+            self.answers["no scheduler"] += 1
             return
         verdict = response.headers.get("Sablemount-Verdict", "no answer")
-        self.seen[verdict] += 1
+        self.answers[verdict] += 1
         if verdict == "DONE" and response.body != b"quote for " + body:
-            self.cell.truth.violations.append("answer: not the caller's own, or not whole")
+            self.cell.truth.violations.append("answer: of another request, or incomplete")
 
     async def submit(self) -> None:
-        """Submit jobs and remember those that were accepted."""
+        """Submit jobs, and record those that were accepted."""
         number = 0
         while time.monotonic() < self.end:
             number += 1
@@ -109,24 +110,24 @@
             if template == "yard/transfer":
                 self.cell.truth.single.update(f"{job}.{index}" for index in range(count))
             body = {"template": template, "job": job, "count": count}
-            answer = await self.cell.call(self._any(), "POST", "/v1/jobs", body)
+            answer = await self.cell.call(self._random_name(), "POST", "/v1/jobs", body)
             if answer is not None and answer.get("job") == job:
                 self.jobs[job] = count
-            await asyncio.sleep(JOB_EVERY)
+            await asyncio.sleep(JOB_INTERVAL_S)
 
-    def _any(self) -> str:
+    def _random_name(self) -> str:
         return self.rng.choice(self.cell.names)
 
     # -- Faults ------------------------------------------------------------------------------
 
     async def strike(self) -> None:
-        """Kill, freeze or stop one daemon after the other, and bring it back."""
+        """Kill, suspend and stop daemons in turn, and resume or restart each."""
         kinds = ["kill", "freeze", "stop"]
-        while time.monotonic() < self.end - FAULT_EVERY:
-            await asyncio.sleep(FAULT_EVERY / 2)
+        while time.monotonic() < self.end - FAULT_INTERVAL_S:
+            await asyncio.sleep(FAULT_INTERVAL_S / 2)
             kind = kinds[self.faults.total() % 3]
             self.faults[kind] += 1
-            name = self._any()
+            name = self._random_name()
             if kind == "freeze":
                 self.cell.signal(name, signal.SIGSTOP)
                 await asyncio.sleep(5.0)
@@ -137,30 +138,30 @@
                 if kind == "stop" and code != 0:
                     self.cell.truth.violations.append(f"planned stop: exit code {code}")
                 self.cell.start(name)
-            await asyncio.sleep(FAULT_EVERY / 2)
+            await asyncio.sleep(FAULT_INTERVAL_S / 2)
 
     async def drain(self) -> None:
-        """Drain one VM after the other, and take it back."""
-        while time.monotonic() < self.end - DRAIN_EVERY:
-            await asyncio.sleep(DRAIN_EVERY / 2)
+        """Drain VMs one after the other, and cancel each drain after a while."""
+        while time.monotonic() < self.end - DRAIN_INTERVAL_S:
+            await asyncio.sleep(DRAIN_INTERVAL_S / 2)
             server = self.rng.choice(self.cell.workers)
             path = f"/v1/vms/{server.facts.vm}/drain"
-            if await self.cell.call(self._any(), "POST", path, {"drain": True}) is None:
+            if await self.cell.call(self._random_name(), "POST", path, {"drain": True}) is None:
                 continue
             self.faults["drain"] += 1
             server.worker.left_since = time.monotonic()
-            await asyncio.sleep(DRAIN_EVERY / 2)
+            await asyncio.sleep(DRAIN_INTERVAL_S / 2)
             server.worker.left_since = float("inf")
-            await self.cell.call(self._any(), "POST", path, {"drain": False})
+            await self.cell.call(self._random_name(), "POST", path, {"drain": False})
 
     # -- The end -----------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Run the load and the faults, then wait for all accepted work."""
+        """Run the load and the faults, then wait until all accepted tasks have ended."""
         parts = [self.quotes(), self.keyed(), self.submit(), self.strike(), self.drain()]
         await asyncio.gather(*parts)
         await asyncio.gather(*self.callers)
-        await wait_until(self._all_ended, GRACE)
+        await wait_until(self._all_ended, OUTCOME_TIMEOUT_S)
 
     async def _all_ended(self) -> bool:
         for job, count in self.jobs.items():
@@ -172,7 +173,7 @@
 
 async def _soak() -> int:
     with tempfile.TemporaryDirectory() as folder:
-        cell = DaemonCell(Path(folder), 3, 8, CoreSettings(shards=6, evict_after=BOUNDED))
+        cell = DaemonCell(Path(folder), 3, 8, CoreSettings(shards=6, evict_after=EVICT_AFTER_S))
         try:
             await cell.start_all()
             await cell.publish([QUOTE, STOCK, PLAN, TRANSFER])
@@ -180,7 +181,7 @@
             await soak.run()
         finally:
             cell.close()
-    print(f"requests by verdict   {dict(soak.seen)}")
+    print(f"requests by verdict   {dict(soak.answers)}")
     print(f"faults                {dict(soak.faults)}")
     print(f"jobs accepted, ended  {len(soak.jobs)}")
     print(f"task starts           {cell.truth.starts.total()}")
--- a/benchmarks/standin.py
+++ b/benchmarks/standin.py
@@ -1,7 +1,7 @@
-"""Processes of stand-ins: ``workers`` serves some workers, ``platform`` the log and the VM list.
+"""Processes of stand-ins: ``workers`` runs some workers, ``platform`` the log and the VM list.
 
-Each prints what others need as one JSON line and serves until its standard input closes; the
-platform first reads the VM list from there.
+Each prints its VMs or its address as one line of JSON, and serves until its standard input is
+closed. ``platform`` first reads the VM list from its standard input.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 HALLS = ("sala-norte", "sala-sur")
 
 
-async def _until_closed() -> None:
+async def _wait_for_end_of_input() -> None:
     loop = asyncio.get_running_loop()
     await loop.run_in_executor(None, sys.stdin.read)
 
@@ -27,7 +27,7 @@
     truth = Truth()
     servers = make_workers(count, truth, HALLS, 6, service_time, prefix)
     print(msgspec.json.encode([server.facts for server in servers]).decode(), flush=True)
-    await _until_closed()
+    await _wait_for_end_of_input()
     if truth.violations:
         print(truth.violations[:3], file=sys.stderr)
 
@@ -35,10 +35,10 @@
 async def _platform() -> None:
     loop = asyncio.get_running_loop()
     line = await loop.run_in_executor(None, sys.stdin.readline)
-    listed = [StaticVm(facts) for facts in msgspec.json.decode(line, type=list[VmFacts])]
-    platform = PlatformServer(listed)
+    vms = [StaticVm(facts) for facts in msgspec.json.decode(line, type=list[VmFacts])]
+    platform = PlatformServer(vms)
     print(msgspec.json.encode(platform.address).decode(), flush=True)
-    await _until_closed()
+    await _wait_for_end_of_input()
 
 
 def main() -> None:
