--- a/src/sablemount/core/systems/journal.py
+++ b/src/sablemount/core/systems/journal.py
@@ -63,7 +63,7 @@
     return 4 if isinstance(body, SnapshotPart) else 3
 
 
-class _Pending:
+class _PendingRecord:
     """A record that is to be written, or has been sent and is to be read back."""
 
     __slots__ = ("body", "nonce", "sequence", "settled")
@@ -101,9 +101,9 @@
         self._state = state
         self.listeners: list[Callable[[Applied], None]] = []
         self.reset_listeners: list[Callable[[], None]] = []
-        self._pending: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingRecord] = {}
         # Indexed by type and by deadline, so that no tick has to scan the long queue of an outage.
-        self._by_type: dict[type, dict[int, _Pending]] = {}
+        self._by_type: dict[type, dict[int, _PendingRecord]] = {}
         self._deadlines: list[tuple[float, int]] = []
         self._queue: list[tuple[int, int]] = []
         self._next_nonce = 1
@@ -128,7 +128,7 @@
             return False
         nonce = self._next_nonce
         self._next_nonce += 1
-        item = _Pending(nonce, body, settled)
+        item = _PendingRecord(nonce, body, settled)
         self._pending[nonce] = item
         self._by_type.setdefault(type(body), {})[nonce] = item
         if deadline != NO_DEADLINE:
@@ -147,7 +147,7 @@
                 self._remove(nonce)
                 self._settle(item, Settlement.NOT_WRITTEN)
 
-    def _remove(self, nonce: int) -> _Pending | None:
+    def _remove(self, nonce: int) -> _PendingRecord | None:
         item = self._pending.pop(nonce, None)
         if item is not None:
             del self._by_type[type(item.body)][nonce]
@@ -218,7 +218,7 @@
                 self._remove(nonce)
                 self._settle(item, Settlement.NOT_WRITTEN)
 
-    def _settle(self, item: _Pending, settlement: Settlement, error: str = "") -> None:
+    def _settle(self, item: _PendingRecord, settlement: Settlement, error: str = "") -> None:
         if item.settled is not None:
             item.settled(settlement, error)
 
@@ -232,28 +232,28 @@
             return
         if now < self._next_append or self._bootstrapping:
             return
-        taken = self._next_records()
-        if not taken:
+        selected = self._next_records()
+        if not selected:
             return
         self._sequence += 1
-        body = Batch(self._state.writer, self._sequence, self._state.ledger.offset, tuple(taken))
+        body = Batch(self._state.writer, self._sequence, self._state.ledger.offset, tuple(selected))
         payload = records.encode_batch(body)
-        self._in_flight = _InFlight(self._sequence, payload, [item.nonce for item in taken])
+        self._in_flight = _InFlight(self._sequence, payload, [item.nonce for item in selected])
         self._next_append = now + self._append_interval()
         self._state.meter.count("log_bytes", "", len(payload))
         self._state.emit(AppendLog(self._sequence, payload))
 
     def _append_interval(self) -> float:
-        """Return the time between two appends that keeps all members together within the budget."""
+        """Return the interval between appends at which all members together stay in budget."""
         settings = self._state.settings
         fair_interval = len(self._state.ledger.members) / settings.append_budget
         return max(settings.append_interval, fair_interval)
 
     def _next_records(self) -> list[Record]:
         settings = self._state.settings
-        taken: list[Record] = []
+        selected: list[Record] = []
         size = 0
-        while self._queue and len(taken) < settings.append_records:
+        while self._queue and len(selected) < settings.append_records:
             _, nonce = self._queue[0]
             item = self._pending.get(nonce)
             if item is not None:
@@ -261,12 +261,12 @@
                 size += (
                     len(body.payload) if isinstance(body, SnapshotPart) else ASSUMED_RECORD_BYTES
                 )
-                if taken and size > settings.append_bytes:
+                if selected and size > settings.append_bytes:
                     break
                 item.sequence = self._sequence + 1
-                taken.append(Record(nonce, body))
+                selected.append(Record(nonce, body))
             heapq.heappop(self._queue)
-        return taken
+        return selected
 
     # -- Reading -----------------------------------------------------------------------------
 
@@ -342,8 +342,8 @@
             self._collect_snapshot(entry)
         if self._read_offset() < event.head:
             return
-        current = self._state.ledger
-        if self._snapshot is not None and self._snapshot.offset > current.offset:
+        installed = self._state.ledger
+        if self._snapshot is not None and self._snapshot.offset > installed.offset:
             self._install(ledger_of(self._snapshot))
         if event.first <= self._state.ledger.offset + 1:
             self._finish_bootstrap()
--- a/src/sablemount/core/systems/placement.py
+++ b/src/sablemount/core/systems/placement.py
@@ -17,7 +17,7 @@
 __all__ = ["Placement"]
 
 LOOK_AHEAD = 4
-"""Maximum number of tasks of a group that are tried at its turn if the first does not fit."""
+"""Maximum number of tasks of a group that are tried per turn, as the first may not fit."""
 MOVE_INTERVAL_S = 1.0
 """Mean time between two attempts to move a task to another shard."""
 MAX_SAMPLED_VMS = 64
@@ -66,10 +66,10 @@
         turns = self.queue.turns(level)
         group = next(turns, None)
         while group is not None and budget > 0:
-            again = self._place_from_group(level, group)
-            budget -= again
+            placed = self._place_from_group(level, group)
+            budget -= placed
             try:
-                group = turns.send(again)
+                group = turns.send(placed)
             except StopIteration:
                 break
         return budget
@@ -108,7 +108,7 @@
             self.queue.remove(row.task)
             self._finish_cancelled(item, held)
             return False
-        # Until a taken shard is open, only tasks that have never started may be placed in it.
+        # Until a newly held shard is open, only tasks that have never started may be placed in it.
         known = held.opened or item.new
         return known and held.state is HoldState.ACTIVE and not item.moving
 
@@ -197,8 +197,8 @@
         if preferences.spread:
             first = self._due_hall(position)
             return sorted(halls, key=lambda hall: (hall != first, hall))
-        turn = int(self._state.rng.random() * len(halls))
-        return halls[turn:] + halls[:turn]
+        offset = int(self._state.rng.random() * len(halls))
+        return halls[offset:] + halls[:offset]
 
     def _score(self, vm: VmRow, row: TaskRow) -> float:
         """Return the cost of a VM for a task, from the capacity left over and the preferences.
