--- a/benchmarks/matrix.py
+++ b/benchmarks/matrix.py
@@ -25,7 +25,7 @@
     print("|---" * (len(flows) + 1) + "|")
     counts: Counter[tuple[str, str, bool]] = Counter()
     for result in results:
-        if result.struck:
+        if result.injected:
             flow = STEPS[result.cell.step].flow
             counts[result.cell.fault, flow, not result.violations] += 1
     for fault in FAULTS:
@@ -38,10 +38,10 @@
 
 def _report(name: str, results: list[CellResult], seconds: float) -> int:
     failed = [result for result in results if result.violations]
-    struck = sum(result.struck for result in results)
+    injected = sum(result.injected for result in results)
     print(
-        f"{name}: {len(results)} cells, {struck} struck, {struck - len(failed)} passed, "
-        f"{len(failed)} failed, {len(results) - struck} whose step did not come about; "
+        f"{name}: {len(results)} cells, {injected} struck, {injected - len(failed)} passed, "
+        f"{len(failed)} failed, {len(results) - injected} whose step did not come about; "
         f"{seconds:.0f} s",
         flush=True,
     )
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -120,7 +120,7 @@
 
     # -- Faults ------------------------------------------------------------------------------
 
-    async def strike(self) -> None:
+    async def inject_faults(self) -> None:
         """Kill, suspend and stop daemons in turn, and resume or restart each."""
         kinds = ["kill", "freeze", "stop"]
         while time.monotonic() < self.end - FAULT_INTERVAL_S:
@@ -158,7 +158,7 @@
 
     async def run(self) -> None:
         """Run the load and the faults, then wait until all accepted tasks have ended."""
-        parts = [self.quotes(), self.keyed(), self.submit(), self.strike(), self.drain()]
+        parts = [self.quotes(), self.keyed(), self.submit(), self.inject_faults(), self.drain()]
         await asyncio.gather(*parts)
         await asyncio.gather(*self.callers)
         await wait_until(self._all_ended, OUTCOME_TIMEOUT_S)
--- a/tests/fakes/cell.py
+++ b/tests/fakes/cell.py
@@ -150,7 +150,7 @@
         member = Member(self, name, incarnation)
         self.members[name] = member
         self.after(self.rng.random() * 0.1, lambda: self._tick(member))
-        self.after(0.0, lambda: self._list(member))
+        self.after(0.0, lambda: self._deliver_vm_list(member))
         return member
 
     def _tick(self, member: Member) -> None:
@@ -159,13 +159,13 @@
         member.take(events.Tick())
         self.after(self.settings.tick, lambda: self._tick(member))
 
-    def _list(self, member: Member) -> None:
+    def _deliver_vm_list(self, member: Member) -> None:
         if member.dead or member.stopped:
             return
         if frozenset((member.name, LIST)) not in self.cut:
             facts = self.listed if self.listed is not None else self.vm_list()
             member.take(events.VmListRead(facts))
-        self.after(0.5, lambda: self._list(member))
+        self.after(0.5, lambda: self._deliver_vm_list(member))
 
     def vm_list(self) -> tuple[VmFacts, ...]:
         return tuple(worker.facts for worker in self.workers.values() if worker.up)
@@ -181,9 +181,9 @@
     def pause(self, name: str, seconds: float) -> None:
         member = self.members[name]
         member.paused_until = self.now + seconds
-        self.after(seconds, lambda: self._wake(member))
+        self.after(seconds, lambda: self._resume(member))
 
-    def _wake(self, member: Member) -> None:
+    def _resume(self, member: Member) -> None:
         if member.paused:
             return
         held, member.held_actions = member.held_actions, []
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -33,10 +33,10 @@
 
 
 class CellResult(msgspec.Struct, frozen=True):
-    """The result of a cell; ``struck`` is false if its step did not occur."""
+    """The result of a cell; ``injected`` is false if its step did not occur."""
 
     cell: Cell
-    struck: bool
+    injected: bool
     violations: list[str]
 
 
@@ -49,7 +49,7 @@
         violations = run.play()
     except Exception as error:
         violations = [f"exception: {error!r}"]
-    return CellResult(cell, bool(run.struck), violations)
+    return CellResult(cell, bool(run.injected), violations)
 
 
 def singles() -> list[Cell]:
--- a/tests/matrix_run.py
+++ b/tests/matrix_run.py
@@ -71,7 +71,7 @@
         self._faults = faults
         self.cell = VirtualCell(members=3, vms=6, seed=seed, settings=settings)
         self.origin = 0.0
-        self.struck: list[str] = []
+        self.injected: list[str] = []
         self.accepted: dict[str, str] = {}
         self._crashed: set[str] = set()
 
@@ -88,12 +88,12 @@
             armed[0] = False
             vm = getattr(action, "vm", "")
             if step.delay:
-                self.cell.after(step.delay, lambda: self.strike(fault, member.name, vm))
+                self.cell.after(step.delay, lambda: self.inject(fault, member.name, vm))
             else:
-                self.strike(fault, member.name, vm)
+                self.inject(fault, member.name, vm)
             if follow_up is not None:
                 second, wait = follow_up
-                self.cell.after(wait, lambda: self.strike(second, self._other(member.name), ""))
+                self.cell.after(wait, lambda: self.inject(second, self._other(member.name), ""))
 
         self.cell.observers.append(observe)
 
@@ -101,9 +101,9 @@
         names = [other.name for other in self.cell.live() if other.name != name]
         return self.cell.rng.choice(names) if names else name
 
-    def strike(self, fault: str, name: str, vm: str) -> None:
+    def inject(self, fault: str, name: str, vm: str) -> None:
         """Inject a fault into a scheduler, or into a VM if the fault concerns one."""
-        self.struck.append(fault)
+        self.injected.append(fault)
         vm = vm or self.cell.rng.choice(sorted(self.cell.workers))
         self._faults[fault](self, name, vm)
 
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -43,7 +43,7 @@
 def test_cells_that_failed_before(failed: tuple[str, str, str, str, float]) -> None:
     flow, name, fault, second, wait = failed
     result = run_cell(Cell(find_step(flow, name), fault, second, wait))
-    assert result.struck
+    assert result.injected
     assert result.violations == []
 
 
