--- a/src/sablemount/core/systems/ownership.py
+++ b/src/sablemount/core/systems/ownership.py
@@ -66,11 +66,11 @@
         self._state = state
         self._journal = journal
         self._membership = membership
-        self._promised: dict[str, float] = {}
+        self._promised_until: dict[str, float] = {}
         self._next_promises = 0.0
         self._releasing_since: dict[int, float] = {}
-        self._targets_for: tuple[Writer, ...] = ()
-        self._targets: dict[int, Writer] = {}
+        self._assigned_members: tuple[Writer, ...] = ()
+        self._assignment: dict[int, Writer] = {}
         journal.reset_listeners.append(self.sync)
 
     # -- Shards held according to the ledger -------------------------------------------------
@@ -91,7 +91,7 @@
         settings = state.settings
         drift_factor = 1 + settings.drift
         # A promise counts as a read of the log by the previous owner at the promise's end.
-        since = state.now if planned else max([state.now, *self._promised.values()])
+        since = state.now if planned else max([state.now, *self._promised_until.values()])
         delay = 0.0 if planned else settings.claim_delay * drift_factor + settings.settle
         active_at = since + delay
         # The previous owner may renew runs until its lease and the grace period have ended.
@@ -168,7 +168,7 @@
         self._journal.withdraw(records.Claim, lambda claim: claim.shard in shards)
         until = state.now + request.duration * (1 + state.settings.drift)
         owner = str(request.sender)
-        self._promised[owner] = max(self._promised.get(owner, 0.0), until)
+        self._promised_until[owner] = max(self._promised_until.get(owner, 0.0), until)
         state.meter.count("promises", "given")
         reply = HoldPromise(state.writer, request.sent_at, request.duration)
         state.emit(SendPeer(request.sender.name, reply))
@@ -181,7 +181,7 @@
     def _must_not_claim(self, owner: Writer) -> bool:
         """Return whether this scheduler must not append a claim against an owner now."""
         state = self._state
-        if self._promised.get(str(owner), 0.0) > state.now:
+        if self._promised_until.get(str(owner), 0.0) > state.now:
             return True
         if state.ledger.knows(owner, state.writer):
             return False
@@ -196,7 +196,7 @@
         live = self._membership.live_members()
         known = [member for member in live if self._state.ledger.knows(owner, member)]
         if not known:
-            return self._targets.get(shard)
+            return self._assignment.get(shard)
         return max(known, key=lambda member: _score(shard, member.name))
 
     # -- Claims and releases -----------------------------------------------------------------
@@ -236,15 +236,15 @@
     def _move_shards(self) -> None:
         state = self._state
         live = tuple(self._membership.live_members())
-        if live != self._targets_for:
-            self._targets_for = live
-            self._targets = assign_shards(state.settings.shards, list(live))
+        if live != self._assigned_members:
+            self._assigned_members = live
+            self._assignment = assign_shards(state.settings.shards, list(live))
         claiming = {claim.shard for claim in self._journal.waiting(records.Claim)}
         releasing = {item.shard for item in self._journal.waiting(records.Release)}
         for row in state.ledger.shards:
             if row.shard in claiming or row.shard in releasing:
                 continue
-            target = self._targets.get(row.shard)
+            target = self._assignment.get(row.shard)
             if row.owner == state.writer:
                 self._consider_release(row.shard, target)
             elif row.owner is not None:
