--- a/tests/fakes/cell.py
+++ b/tests/fakes/cell.py
@@ -67,6 +67,7 @@
         return self.cell.now < self.paused_until
 
     def take(self, event: events.Event) -> None:
+        """Pass an event to the core and perform its actions; while paused, defer the event."""
         if self.dead or self.stopped:
             return
         if self.paused:
@@ -179,6 +180,7 @@
         return self.boot(name, old.core.state.writer.incarnation + 1)
 
     def pause(self, name: str, seconds: float) -> None:
+        """Suspend a member: events to it and actions of it are deferred until it resumes."""
         member = self.members[name]
         member.paused_until = self.now + seconds
         self.after(seconds, lambda: self._resume(member))
@@ -186,17 +188,19 @@
     def _resume(self, member: Member) -> None:
         if member.paused:
             return
-        held, member.held_actions = member.held_actions, []
-        for action in held:
+        deferred, member.held_actions = member.held_actions, []
+        for action in deferred:
             self.perform(member, action)
         waiting, member.waiting = member.waiting, []
         for event in waiting:
             member.take(event)
 
     def part(self, one: str, other: str) -> None:
+        """Cut the link between two members, or between a member and a VM, the log or the list."""
         self.cut.add(frozenset((one, other)))
 
     def heal(self) -> None:
+        """Undo the faults of links, log and VM list; crashed members stay down."""
         self.cut.clear()
         self.log.mode = LogMode.UP
         self.log.land_late_writes(self.now)
@@ -350,12 +354,12 @@
         peer = self.members.get(action.peer)
         arrival = action.arrival
         remaining = max(0.0, arrival.deadline - member.clock())
-        waiting = [True]
+        pending = [True]
 
         def end(event: events.RequestEnded) -> None:
             """End the call, once: a later answer or time-out is ignored."""
-            if waiting[0] and self.linked(member.name, action.peer):
-                waiting[0] = False
+            if pending[0] and self.linked(member.name, action.peer):
+                pending[0] = False
                 member.take(event)
 
         def arrive() -> None:
@@ -369,15 +373,15 @@
                 )
             )
 
-        def give_up() -> None:
-            if waiting[0]:
-                waiting[0] = False
+        def time_out() -> None:
+            if pending[0]:
+                pending[0] = False
                 lost = Failure(Verdict.MAY_HAVE_RUN, Reason.PEER_LOST)
                 member.take(events.RequestEnded(arrival.request, "", lost, True))
 
         if self.linked(member.name, action.peer):
             self.after(MESSAGE_DELAY_S, arrive)
-        self.after(remaining, give_up)
+        self.after(remaining, time_out)
 
     def _do_SendPeer(self, member: Member, action: actions.SendPeer) -> None:
         def arrive() -> None:
@@ -463,6 +467,7 @@
         ]
 
     def owners(self) -> dict[int, str]:
+        """Return the live member that has opened each shard."""
         return {
             shard: member.name
             for member in self.live()
@@ -471,9 +476,11 @@
         }
 
     def settled(self) -> bool:
+        """Return whether every shard is open at a live member."""
         return len(self.owners()) == self.settings.shards
 
     def verdict(self, task: str) -> str:
+        """Return the verdict of a task by any live member, or an empty string."""
         rows = [member.core.state.ledger.tasks.get(task) for member in self.live()]
         found = [row.verdict for row in rows if row is not None and row.verdict]
         return found[0] if found else ""
--- a/tests/matrix_faults.py
+++ b/tests/matrix_faults.py
@@ -12,7 +12,7 @@
 FAULT_S = 20.0
 
 
-def _cut(run: Run, pairs: list[tuple[str, str]]) -> None:
+def _cut_links(run: Run, pairs: list[tuple[str, str]]) -> None:
     for one, other in pairs:
         run.cell.part(one, other)
 
@@ -39,7 +39,7 @@
     run.heal_after(FAULT_S, lambda: setattr(run.cell, "log_delay", MESSAGE_DELAY_S))
 
 
-def _drops(run: Run, dropped_part: str) -> None:
+def _drop_messages(run: Run, dropped_part: str) -> None:
     until = run.cell.now + 1.5
     previous_drop = run.cell.drop
 
@@ -82,8 +82,8 @@
     "crash": lambda run, name, vm: run.crash(name),
     "short pause": lambda run, name, vm: run.cell.pause(name, 1.2),
     "lapsed lease": lambda run, name, vm: run.cell.pause(name, 9.0),
-    "lost command": lambda run, name, vm: _drops(run, "command"),
-    "lost answer": lambda run, name, vm: _drops(run, "answer"),
+    "lost command": lambda run, name, vm: _drop_messages(run, "command"),
+    "lost answer": lambda run, name, vm: _drop_messages(run, "answer"),
     "log outage": lambda run, name, vm: _log_mode(run, LogMode.DOWN, FAULT_S),
     "lost append answers": lambda run, name, vm: _log_mode(run, LogMode.LOSES_ANSWERS, 8.0),
     "late writes": lambda run, name, vm: _log_mode(run, LogMode.WRITES_LATE, 6.0),
@@ -92,10 +92,10 @@
     "VM restart": lambda run, name, vm: _vm_restarts(run, vm),
     "stale VM list": lambda run, name, vm: _stale_list(run, vm),
     "racing operator": lambda run, name, vm: _racing_operator(run, name),
-    "cut from the log": lambda run, name, vm: _cut(run, [(name, LOG), (name, LIST)]),
-    "cut from the peers": lambda run, name, vm: _cut(run, _peer_links(run, name)),
-    "cut from the VMs": lambda run, name, vm: _cut(run, _vm_links(run, name)),
-    "cut from log and peers": lambda run, name, vm: _cut(
+    "cut from the log": lambda run, name, vm: _cut_links(run, [(name, LOG), (name, LIST)]),
+    "cut from the peers": lambda run, name, vm: _cut_links(run, _peer_links(run, name)),
+    "cut from the VMs": lambda run, name, vm: _cut_links(run, _vm_links(run, name)),
+    "cut from log and peers": lambda run, name, vm: _cut_links(
         run, [(name, LOG), *_peer_links(run, name)]
     ),
 }
--- a/tests/matrix_run.py
+++ b/tests/matrix_run.py
@@ -21,7 +21,7 @@
 SCENARIO_S = 45.0
 OUTCOME_TIMEOUT_S = 200.0
 """Time after the scenario in which all accepted work must reach an outcome."""
-ANSWERED = MESSAGE_DELAY_S * 2.5
+ANSWERED_S = MESSAGE_DELAY_S * 2.5
 SETTINGS = CoreSettings(shards=3, tick=0.2, snapshot_entries=150, hold_limit=120.0, aging=20.0)
 
 QUOTE = TemplateDocument("rueda", "quote", Kind.REQUEST, PriorityClass.URGENT, Shape(slots=1))
@@ -93,11 +93,13 @@
                 self.inject(fault, member.name, vm)
             if follow_up is not None:
                 second, wait = follow_up
-                self.cell.after(wait, lambda: self.inject(second, self._other(member.name), ""))
+                self.cell.after(
+                    wait, lambda: self.inject(second, self._other_member(member.name), "")
+                )
 
         self.cell.observers.append(observe)
 
-    def _other(self, name: str) -> str:
+    def _other_member(self, name: str) -> str:
         names = [other.name for other in self.cell.live() if other.name != name]
         return self.cell.rng.choice(names) if names else name
 
@@ -144,7 +146,10 @@
         cell = self.cell
         at = cell.after
         for index, document in enumerate(DOCUMENTS):
-            at(0.01 * index, lambda document=document: self._on(cell.publish, document, 0))
+            at(
+                0.01 * index,
+                lambda document=document: self._call_on_last_member(cell.publish, document, 0),
+            )
         for index, (job, (template, count)) in enumerate(JOBS.items()):
             at(1.0 + 1.5 * index, lambda j=job, t=template, c=count: self._submit(t, j, c))
         at(6.0, lambda: self._submit("rueda/rush", "rush", 2))
@@ -155,22 +160,22 @@
         at(7.0, lambda: self._drain("vm-1"))
         at(9.0, lambda: cell.workers["vm-2"].leave(cell.now))
         at(9.5, self._revise)
-        at(10.0, lambda: self._on_member(self._cancel))
+        at(10.0, lambda: self._call_with_first_member(self._cancel))
         at(12.0, lambda: cell.members["s1"].take(events.StopRequested()))
         at(17.0, lambda: cell.replace("s1"))
         at(18.0, lambda: self.crash("s2"))
 
-    def _on_member(self, call: Callable[[Member], None]) -> None:
+    def _call_with_first_member(self, call: Callable[[Member], None]) -> None:
         live = self.cell.live()
         if live:
             call(live[0])
 
-    def _on(self, call: Callable[..., str], *arguments: object) -> str:
+    def _call_on_last_member(self, call: Callable[..., str], *arguments: object) -> str:
         live = self.cell.live()
         return call(*arguments, member=live[-1].name) if live else ""
 
     def _submit(self, template: str, job: str, count: int) -> None:
-        token = self._on(self.cell.submit, template, job, count)
+        token = self._call_on_last_member(self.cell.submit, template, job, count)
         if token:
             self.accepted[token] = job
 
