--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -111,13 +111,13 @@
     return len(requested) - succeeded
 
 
-def _starts(cell: VirtualCell, seconds: float) -> int:
+def _count_starts(cell: VirtualCell, seconds: float) -> int:
     before = cell.truth.starts.total()
     cell.run(seconds)
     return cell.truth.starts.total() - before
 
 
-def _backlog(cell: VirtualCell) -> None:
+def _submit_backlog(cell: VirtualCell) -> None:
     for index in range(2):
         cell.submit("yard/slow", f"backlog-{index}", 1_000, f"s{index}", wait=60.0)
     cell.run(30.0)
@@ -126,12 +126,12 @@
 def outage_share(seed: int, with_crash: bool = False) -> float:
     """Return the rate of starts in a 10-minute log outage as a share of the rate without one."""
     cell = _cell(seed)
-    _backlog(cell)
-    normal = _starts(cell, 60.0) / 60.0
+    _submit_backlog(cell)
+    normal = _count_starts(cell, 60.0) / 60.0
     cell.log.mode = LogMode.DOWN
     if with_crash:
         cell.after(60.0, lambda: cell.crash("s1"))
-    return _starts(cell, OUTAGE_S) / OUTAGE_S / normal
+    return _count_starts(cell, OUTAGE_S) / OUTAGE_S / normal
 
 
 def outage_share_silent(seed: int) -> float:
@@ -183,7 +183,7 @@
     return cell.run_until(lambda: not vm.used().cores, 30.0)
 
 
-def _appends(cell: VirtualCell, seconds: float) -> float:
+def _append_rate(cell: VirtualCell, seconds: float) -> float:
     before = cell.log.appends
     cell.run(seconds)
     return (cell.log.appends - before) / seconds
@@ -191,22 +191,22 @@
 
 def appends_calm(seed: int) -> float:
     """Return the appends per second without work."""
-    return _appends(_cell(seed), 30.0)
+    return _append_rate(_cell(seed), 30.0)
 
 
 def appends_working(seed: int) -> float:
     """Return the appends per second while about one task per second starts and ends."""
     cell = _cell(seed)
-    _backlog(cell)
-    return _appends(cell, 30.0)
+    _submit_backlog(cell)
+    return _append_rate(cell, 30.0)
 
 
 def appends_recovery(seed: int) -> float:
     """Return the appends per second in the 10 s after a crash under the same work."""
     cell = _cell(seed)
-    _backlog(cell)
+    _submit_backlog(cell)
     cell.crash("s1")
-    return _appends(cell, 10.0)
+    return _append_rate(cell, 10.0)
 
 
 FIGURES: list[tuple[str, str, Callable[[int], float]]] = [
