--- a/benchmarks/bench.py
+++ b/benchmarks/bench.py
@@ -51,10 +51,8 @@
         return f"{'ok  ' if self.holds else 'FAIL'} {self.name}: {self.value:.3g} ({limit})"
 
 
-def _print_row(name: str, figures: Figures) -> None:
-    print(
-        f"| {name} | {figures.rate:.0f} | {figures.p50:.2f} | {figures.p99:.2f} | {figures.bad} |"
-    )
+def _print_row(name: str, row: Figures) -> None:
+    print(f"| {name} | {row.rate:.0f} | {row.p50:.2f} | {row.p99:.2f} | {row.bad} |")
 
 
 def request_path() -> list[Bound]:
--- a/tests/fakes/cell.py
+++ b/tests/fakes/cell.py
@@ -191,8 +191,8 @@
         deferred, member.held_actions = member.held_actions, []
         for action in deferred:
             self.perform(member, action)
-        waiting, member.waiting = member.waiting, []
-        for event in waiting:
+        undelivered, member.waiting = member.waiting, []
+        for event in undelivered:
             member.take(event)
 
     def part(self, one: str, other: str) -> None:
