--- a/src/sablemount/core/systems/journal.py
+++ b/src/sablemount/core/systems/journal.py
@@ -384,7 +384,7 @@
             listener()
 
     def _settle_covered(self) -> None:
-        """Settle as unknown the records whose outcome precedes the installed ledger."""
+        """Settle as unknown the records that the installed ledger already covers."""
         name = self._state.writer.name
         if self._state.ledger.members.get(name) != self._state.writer:
             return
--- a/src/sablemount/core/systems/requests.py
+++ b/src/sablemount/core/systems/requests.py
@@ -55,7 +55,7 @@
 
     @property
     def in_flight(self) -> int:
-        """The number of requests that have not been answered."""
+        """Return the number of requests that have not been answered."""
         return len(self._requests)
 
     # -- Admission ---------------------------------------------------------------------------
@@ -357,7 +357,7 @@
         self._limits.left(request.template.organisation)
 
     def withdrawn(self, name: str) -> None:
-        """Drop the request of a disconnected caller, unless it has been sent to a VM or a peer."""
+        """Drop a disconnected caller's request; one that was sent stays charged until it ends."""
         request = self._requests.get(name)
         if request is not None and not request.sent:
             self._finish(request)
