--- a/benchmarks/matrix.py
+++ b/benchmarks/matrix.py
@@ -1,4 +1,4 @@
-"""Runs the whole fault matrix over the machine's cores and prints its table."""
+"""Run the complete fault matrix on all cores of the machine and print the results."""
 
 import concurrent.futures
 import os
@@ -10,7 +10,7 @@
 
 __all__ = ["main"]
 
-SHOWN = 20
+MAX_PRINTED_FAILURES = 20
 
 
 def _run_all(cells: list[Cell]) -> list[CellResult]:
@@ -25,33 +25,33 @@
     print("|---" * (len(flows) + 1) + "|")
     counts: Counter[tuple[str, str, bool]] = Counter()
     for result in results:
-        if result.struck:
+        if result.injected:
             flow = STEPS[result.cell.step].flow
             counts[result.cell.fault, flow, not result.violations] += 1
     for fault in FAULTS:
         row = []
         for flow in flows:
-            good, bad = counts[fault, flow, True], counts[fault, flow, False]
-            row.append(f"{good}/{good + bad}")
+            passed, failed = counts[fault, flow, True], counts[fault, flow, False]
+            row.append(f"{passed}/{passed + failed}")
         print(f"| {fault} | " + " | ".join(row) + " |")
 
 
 def _report(name: str, results: list[CellResult], seconds: float) -> int:
     failed = [result for result in results if result.violations]
-    struck = sum(result.struck for result in results)
+    injected = sum(result.injected for result in results)
     print(
-        f"{name}: {len(results)} cells, {struck} struck, {struck - len(failed)} passed, "
-        f"{len(failed)} failed, {len(results) - struck} whose step did not come about; "
+        f"{name}: {len(results)} cells, {injected} struck, {injected - len(failed)} passed, "
+        f"{len(failed)} failed, {len(results) - injected} whose step did not come about; "
         f"{seconds:.0f} s",
         flush=True,
     )
-    for result in failed[:SHOWN]:
+    for result in failed[:MAX_PRINTED_FAILURES]:
         print(f"  {result.cell.describe()}: {result.violations[:2]}")
     return len(failed)
 
 
 def main() -> None:
-    """Run the matrix; ``--singles`` leaves the pairs out."""
+    """Run the matrix; ``--singles`` omits the pairs of faults."""
     begun = time.monotonic()
     results = _run_all(singles())
     failed = _report("single faults", results, time.monotonic() - begun)
