--- a/benchmarks/solo.py
+++ b/benchmarks/solo.py
@@ -1,4 +1,4 @@
-"""One scheduler core against an instant log and instant workers, for timing the core alone."""
+"""A scheduler core with a log and workers that answer immediately, for timing the core alone."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 __all__ = ["Solo", "make_facts"]
 
 HALLS = 27
-RACK = 24
-STEP = 0.1
+VMS_PER_RACK = 24
+TICK_S = 0.1
 
 
-def make_facts(count: int, halls: int = HALLS, rack: int = RACK) -> list[VmFacts]:
-    """Return VMs of 16 cores and 64 GB; two in three have accelerators, as at the target size."""
+def make_facts(count: int, halls: int = HALLS, rack: int = VMS_PER_RACK) -> list[VmFacts]:
+    """Return VMs with 16 cores and 64 GB; two thirds have accelerators, as at the target size."""
     facts = []
     for index in range(count):
         hall = f"hall-{index % halls:02d}"
@@ -34,7 +34,7 @@
 
 
 class Solo:
-    """Carries out every action at once."""
+    """Performs every action of the core immediately."""
 
     def __init__(self, facts: list[VmFacts], settings: CoreSettings, seed: int = 1) -> None:
         self.now = 0.0
@@ -44,33 +44,33 @@
         self.polls = 0
         rng = random.Random(seed)
         self.core = Scheduler(settings, Writer("s0", 1), "hall-00", (), rng, 0.0)
-        self.commands: dict[str, object] = {}
+        self.command_failures: dict[str, object] = {}
         self.answers = 0
         self._queue: deque[events.Event] = deque()
-        self.take(events.VmListRead(tuple(facts)))
+        self.handle(events.VmListRead(tuple(facts)))
 
-    def take(self, event: events.Event) -> None:
-        """Hand in an event, and all that follows from it."""
+    def handle(self, event: events.Event) -> None:
+        """Handle an event, and all events that result from it."""
         self._queue.append(event)
         while self._queue:
             for action in self.core.handle(self._queue.popleft(), self.now):
                 self._perform(action)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time, with a tick every ``TICK_S``."""
         end = self.now + seconds
         while self.now < end:
-            self.now += STEP
-            self.take(events.Tick())
+            self.now += TICK_S
+            self.handle(events.Tick())
 
     def publish(self, document: Document) -> None:
         """Publish a document for the first time."""
-        self.take(events.PublishRequested("c", document, 0, "operator", self.now + 10))
+        self.handle(events.PublishRequested("c", document, 0, "operator", self.now + 10))
         self.run(0.5)
 
     def submit(self, template: str, job: str, count: int) -> None:
-        """Submit a job."""
-        self.take(events.JobSubmitted("c", job, template, count, {}, self.now + 10))
+        """Submit a job of ``count`` tasks."""
+        self.handle(events.JobSubmitted("c", job, template, count, {}, self.now + 10))
 
     def _perform(self, action: actions.Action) -> None:
         if isinstance(action, actions.ReadLog):
@@ -90,7 +90,7 @@
         elif isinstance(action, actions.AnswerRequest):
             self.answers += 1
         elif isinstance(action, actions.AnswerCommand):
-            self.commands[action.token] = action.failure
+            self.command_failures[action.token] = action.failure
 
     def _poll(self, action: actions.Poll) -> None:
         self.polls += 1
--- a/src/sablemount/core/scheduler.py
+++ b/src/sablemount/core/scheduler.py
@@ -81,7 +81,7 @@
         state.now = max(state.now, now)
         self.ownership.renew()
         if paused:
-            self.inventory.doubt_all()
+            self.inventory.withhold_new_work()
         self._dispatch(event)
         actions = state.actions
         state.actions = []
@@ -120,7 +120,7 @@
     @_dispatch.register
     def _(self, event: events.PollEnded) -> None:
         self.reconcile.polled(event)
-        self.requests.pump()
+        self.requests.dispatch_queued()
 
     @_dispatch.register
     def _(self, event: events.RequestArrived) -> None:
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -1,4 +1,4 @@
-"""The whole path in virtual time, without faults."""
+"""Requests, tasks and services from publication to their outcome, without faults."""
 
 import pytest
 
@@ -44,7 +44,7 @@
     for index in range(300):
         cell.request("rueda/quote", member=f"s{index % 3}")
     cell.run(30)
-    assert set(cell.commands.values()) == {None}
+    assert set(cell.command_failures.values()) == {None}
     assert len(cell.answers) == 300
     assert all(result.is_ok() for result in cell.answers.values())  # type: ignore[attr-defined]
     assert {cell.verdict(f"plans.{index}") for index in range(40)} == {"DONE"}
--- a/tests/test_false_suspicion.py
+++ b/tests/test_false_suspicion.py
@@ -1,4 +1,8 @@
-"""Members that falsely suspected each other as the log went down go on in the outage."""
+"""Members that falsely suspect each other when the log goes down keep working in the outage.
+
+The claims that they have queued or sent must neither prevent the promises that extend the leases,
+nor make two owners act for one shard once the log is back.
+"""
 
 import itertools
 from collections.abc import Callable
@@ -12,8 +16,8 @@
 from tests.fakes.log import LogMode
 
 SETTINGS = CoreSettings(shards=3, promise=5.0, evict_after=4.0)
-SILENCE = 2.8
-"""Seconds without heartbeats, beyond which a member is suspected."""
+SILENCE_S = 2.8
+"""Time without heartbeats after which a member is suspected."""
 
 
 def _cell() -> VirtualCell:
@@ -26,31 +30,31 @@
 
 
 def _claims(cell: VirtualCell) -> list[records.Claim]:
-    return [c for member in cell.live() for c in member.core.journal.waiting(records.Claim)]
+    return [c for member in cell.live() for c in member.core.journal.unsettled(records.Claim)]
 
 
 def _all_suspect_all() -> VirtualCell:
-    """Return a cell whose members are about to claim each other's shards as the log goes down."""
+    """Return a cell whose members have queued claims on each other's shards as the log fails."""
     cell = _cell()
     cell.log.mode = LogMode.WRITES_LATE
     pairs = list(itertools.combinations(cell.names, 2))
     for one, other in pairs:
-        cell.part(one, other)
-    cell.run(SILENCE)
+        cell.cut_link(one, other)
+    cell.run(SILENCE_S)
     cell.log.mode = LogMode.DOWN
     for one, other in pairs:
-        cell.cut.discard(frozenset((one, other)))
+        cell.cut_links.discard(frozenset((one, other)))
     assert len(_claims(cell)) == 6
     return cell
 
 
 def _one_is_suspected() -> VirtualCell:
-    """Return a cell in which a claim against a paused member may be in the log that goes down."""
+    """Return a cell in which a claim against a paused member may be in the log when it fails."""
     cell = _cell()
-    cell.pause("s0", SILENCE)
+    cell.pause("s0", SILENCE_S)
     cell.run(1.8)
     cell.log.mode = LogMode.WRITES_LATE
-    cell.run(SILENCE - 1.8)
+    cell.run(SILENCE_S - 1.8)
     cell.log.mode = LogMode.DOWN
     assert [claim.shard for claim in _claims(cell)] == [0]
     assert cell.log.delayed_writes
@@ -65,9 +69,9 @@
 def test_all_go_on_in_the_outage(suspicion: Suspicion) -> None:
     cell = suspicion()
     cell.run(3.0)
-    asked = [cell.request("rueda/quote", name) for name in cell.names for _ in range(4)]
+    requests = [cell.request("rueda/quote", name) for name in cell.names for _ in range(4)]
     cell.run(3.0)
-    assert [request for request in asked if not cell.answers[request].is_ok()] == []  # type: ignore[attr-defined]
+    assert [request for request in requests if not cell.answers[request].is_ok()] == []  # type: ignore[attr-defined]
     assert all(member.core.state.has_lease() for member in cell.live())
 
 
@@ -97,7 +101,7 @@
     cell.run(outage)
     cell.log.mode = LogMode.UP
     cell.log.apply_delayed_writes(cell.now)
-    cell.part("s0", LOG)
+    cell.cut_link("s0", LOG)
     for _ in range(200):
         cell.run(0.1)
         _check_one_owner(cell)
@@ -114,4 +118,4 @@
         for shard, held in member.core.state.held_shards.items()
         if held.recovery_complete
     ]
-    assert len(acting) == len(set(acting)), f"two owners act at {cell.now}"
+    assert len(acting) == len(set(acting)), f"a shard has two acting owners at {cell.now} s"
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -28,7 +28,7 @@
 def _next_incarnation(state: State, journal: Journal) -> AppendLog:
     """Start the next incarnation of a scheduler, and return the append with which it joins."""
     state.writer = Writer(state.writer.name, state.writer.incarnation + 1)
-    journal.forget_all()
+    journal.abandon_all()
     journal.write(records.Join("hall-0"))
     state.now += 1.0
     journal.run()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -27,7 +27,7 @@
     member = cell.members["s0"]
     for _ in range(times):
         served = Served(b"", vm) if failure is None else None
-        member.take(events.RequestEnded("none", vm, failure, True, 0.01, served))
+        member.handle(events.RequestEnded("none", vm, failure, True, 0.01, served))
 
 
 def usable(cell: VirtualCell) -> set[str]:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -315,7 +315,7 @@
     cell = make_cell()
     for worker in cell.workers.values():
         for name in cell.names:
-            cell.part(name, worker.facts.vm)
+            cell.cut_link(name, worker.facts.vm)
     for index in range(200):
         cell.request("rueda/quote", f"s{index % 3}", wait=0.3)
         cell.run(0.01)
@@ -326,7 +326,7 @@
 
 def test_a_member_that_has_left_is_forgotten() -> None:
     cell = make_cell()
-    cell.members["s1"].take(events.StopRequested())
+    cell.members["s1"].handle(events.StopRequested())
     cell.run(30.0)
     assert cell.members["s1"].stopped
     cell.run(70.0)
@@ -337,7 +337,7 @@
     cell = make_cell()
     for worker in cell.workers.values():
         for name in cell.names:
-            cell.part(name, worker.facts.vm)
+            cell.cut_link(name, worker.facts.vm)
     without_shards = next((name for name in cell.names if name not in cell.owners().values()), "")
     member = cell.members[without_shards or "s0"]
     for row in member.core.state.vms.values():
@@ -353,11 +353,11 @@
     cell = make_cell()
     cell.log.mode = LogMode.DOWN
     member = cell.members["s0"]
-    member.take(events.DrainRequested("d", "vm-3", True, member.clock() + 1.0))
+    member.handle(events.DrainRequested("d", "vm-3", True, member.clock() + 1.0))
     cell.workers["vm-3"].left_at = cell.now
     cell.run(3.5)
     for index in range(60):
         cell.request("rueda/quote", f"s{index % 3}")
     cell.run(1.0)
     assert cell.truth.violations == []
-    assert cell.commands["d"] is not None
+    assert cell.command_failures["d"] is not None
