--- a/src/sablemount/control/authority.py
+++ b/src/sablemount/control/authority.py
@@ -20,7 +20,7 @@
 
     ``confirmed_at`` returns the local time of the store's last confirmation, ``majority_heard``
     returns whether a majority of the members was heard recently, and ``request_confirmation`` asks
-    the store to confirm the leadership. A leader that hears fewer members may be cut off while
+    the store to confirm the leadership. A leader that hears only a minority may be cut off while
     another one leads on the other side of the partition.
     """
 
--- a/src/sablemount/control/caller_route.py
+++ b/src/sablemount/control/caller_route.py
@@ -35,8 +35,8 @@
 UNCERTAIN_WAIT_S = 2.0
 """How long a request whose answer was lost with the leader is retried at the next leader.
 
-The request may have taken effect, which only the next leader knows. It usually takes over within
-1 s, and within 2 s with a store 91 times slower than usual; callers wait 3 s."""
+The request may have taken effect, which only the next leader knows. That one usually takes over
+within 1 s, and within 2 s with a store 91 times slower than usual; callers wait 3 s."""
 REFUSED_OUTCOMES = (Outcome.NOT_TAKEN, Outcome.NO_QUEUE, Outcome.NO_KEY, Outcome.NAME_TAKEN)
 """Outcomes that would be wrong if an earlier attempt took effect."""
 
--- a/src/sablemount/control/callers.py
+++ b/src/sablemount/control/callers.py
@@ -38,7 +38,7 @@
 
     ``has_authority`` returns whether this process has the authority to lead, and ``confirmed``
     whether the store has recently confirmed it: without that, another leader may have accepted jobs
-    that are not known here. ``kick`` lets the scheduler act on a change.
+    that are not known here. ``wake`` lets the scheduler act on a change.
     """
 
     def __init__(
@@ -47,13 +47,13 @@
         commits: CommitLoop,
         has_authority: Callable[[], bool],
         confirmed: Callable[[], bool],
-        kick: Callable[[], None],
+        wake: Callable[[], None],
     ) -> None:
         self._scheduler = scheduler
         self._commits = commits
         self._has_authority = has_authority
         self._confirmed = confirmed
-        self._kick = kick
+        self._wake = wake
         self._configuration = Configuration()
         self._queues = QueueTable(())
         """The queues of ``_configuration``."""
@@ -131,7 +131,7 @@
         if self._scheduler.submit(name, queue, spec, call.organisation) is Submission.KNOWN:
             self._log("job known", name, queue)
             return CallerReply(Outcome.DONE, state="known")
-        self._kick()
+        self._wake()
         return await self._wait_for_acceptance(name, queue)
 
     def _cap_fault(self, name: str, spec: JobSpec) -> SpecError | None:
@@ -170,7 +170,7 @@
         job = self._scheduler.cancel(name)
         if job is None:
             return self._no_job()
-        self._kick()
+        self._wake()
         if job.visible_state is not JobState.CANCELLED and not job.visible_state.final:
             await asyncio.wait([self._commits.when_recorded()], timeout=ACCEPT_TIMEOUT_S)
         if not job.visible_state.final:
--- a/src/sablemount/control/clock.py
+++ b/src/sablemount/control/clock.py
@@ -18,7 +18,7 @@
 
 
 async def wait_for_event(event: asyncio.Event, seconds: float) -> None:
-    """Wait until an event is set, for at most some seconds."""
+    """Wait until an event is set, for at most ``seconds`` seconds."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(seconds):
             await event.wait()
--- a/src/sablemount/control/commit.py
+++ b/src/sablemount/control/commit.py
@@ -244,8 +244,8 @@
                 answers = await attempts.answers(pause)
                 if any(self._is_settled(answer, entry.sequence) for answer in answers):
                     self._loss_detector.record_done(answers, attempts.sent_at())
-                    taken = any(isinstance(answer.result, Appended) for answer in answers)
-                    settled_by = SETTLED_BY_ANSWER if taken else SETTLED_BY_NUMBER
+                    has_appended = any(isinstance(answer.result, Appended) for answer in answers)
+                    settled_by = SETTLED_BY_ANSWER if has_appended else SETTLED_BY_NUMBER
                     break
                 if any(isinstance(answer.result, WrongSequence) for answer in answers):
                     await self._wait_out_of_order(entry.sequence, answers, interval)
--- a/src/sablemount/control/commit_loop.py
+++ b/src/sablemount/control/commit_loop.py
@@ -12,7 +12,7 @@
 __all__ = ["CommitLoop"]
 
 CONFIRM_INTERVAL_S = 0.5
-"""Interval at which the store confirms the leadership while there are no records to append."""
+"""Interval at which the store is asked to confirm the leadership if nothing is to be appended."""
 COMMIT_PAUSE_S = 0.015
 """Pause between two batches, which limits the calls to the store; 15 ms are short for a task."""
 PIPELINE_DELAY_S = 0.04
--- a/src/sablemount/control/configuration_feed.py
+++ b/src/sablemount/control/configuration_feed.py
@@ -45,7 +45,8 @@
 MIN_PART_TIMEOUT_S = 0.5
 """Initial time-out of a part: 12 times its transmission time on a link of 5 Mbit/s."""
 MAX_PART_TIMEOUT_S = 2.0
-"""Longest time-out of a part; each part that times out doubles it, as the link may be congested."""
+"""Longest time-out of a part. The time-out doubles with each part that is not answered in time, as
+the link may be congested."""
 PUSH_TIMEOUT_S = 2.0
 """Time-out of sending a complete configuration to the leader: 0.8 MB take 1.3 s at 5 Mbit/s."""
 EARLIER_VERSIONS = 2
--- a/src/sablemount/control/configuration_source.py
+++ b/src/sablemount/control/configuration_source.py
@@ -1,5 +1,7 @@
-"""Serves a process's configuration to other processes, a few at a time, so that its link stays free
-for pings and callers."""
+"""Serves a process's configuration to other processes, a few at a time.
+
+The link of the process thus stays free for pings and callers.
+"""
 
 import asyncio
 import logging
--- a/src/sablemount/control/discovery.py
+++ b/src/sablemount/control/discovery.py
@@ -1,4 +1,4 @@
-"""Finds the leader through other members, for a member that cannot read its record in the store."""
+"""Finds the leader through other members if its record cannot be read from the store."""
 
 import asyncio
 import random
@@ -42,7 +42,7 @@
         self._last_known_at = monotonic()
 
     async def run(self) -> None:
-        """Check for a known leader until cancelled."""
+        """Query other members while no leader is known, until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             if self._leader_known():
--- a/src/sablemount/control/election.py
+++ b/src/sablemount/control/election.py
@@ -49,21 +49,20 @@
 MAX_CLAIM_JITTER_S = 0.15
 """Members wait for a random time of up to this many seconds, so that few claim at once."""
 FIRST_CLAIM_DELAY_S = 0.1
-"""Seconds after its start before which a member does not claim the first leadership."""
+"""Seconds after its start for which a member does not claim the first leadership."""
 STORE_PROBE_TIMEOUT_S = 0.4
 """Seconds that the store has to answer the probe of a member whose leader cannot reach it."""
 FAST_ANSWER_S = 0.15
 """Seconds within which a healthy store answers a member: 40 times the usual response time."""
 SLOW_STORE_SILENCE_S = 2.0
-"""Seconds for which an answer to the leader may be overdue if this member finds the store slow
+"""Seconds for which an answer to the leader may be overdue if the store is slow for this member
 too."""
 LEADER_RECHECK_TIMEOUT_S = 0.16
-"""Seconds that the leader has to answer one more ping before a claim is made for its lost store or
-stalled load."""
+"""Seconds that the leader has to answer one more ping, after this member has checked the store and
+before it claims."""
 STORE_RECOVERY_GRACE_S = 0.8
 """Seconds after the store last failed to answer this member for which a leader that lacks the store
-is not replaced: the leader retries every 0.35 s, and its next pong reaches a member within 0.15
-s."""
+is not replaced: the leader retries every 0.35 s, and its next pong arrives within 0.15 s."""
 SLOW_STORE_LOAD_STALL_S = 8.0
 """Seconds for which a load may make no progress if the store is slow for this member too: twice the
 time after which a read of a page is abandoned."""
@@ -79,8 +78,8 @@
 """Members asked for their view of the leader. If two thirds of the members hear a leader, all five
 miss it in 1 of 243 suspicions; asking all members would cost quadratically many calls."""
 SUFFICIENT_VIEWS = 3
-"""Agreeing views that suffice: waiting for a member that failed together with the leader would be
-in vain."""
+"""Agreeing views that suffice: a member that failed together with the leader would be awaited in
+vain."""
 UNCERTAIN_REASONS = (ClaimReason.SILENT, ClaimReason.REFUSED)
 """Reasons that may be due to this member's own connection, so that others are asked."""
 
@@ -215,7 +214,7 @@
         await self._claim(grounds)
 
     def _is_stale(self, grounds: ClaimGrounds) -> bool:
-        """Return whether there is a later leader, or this one has been heard again."""
+        """Return whether there is a later leader, or the suspected one has been heard again."""
         return self._position() != grounds.at or self._claim_reason() is None
 
     def _position(self) -> Position:
@@ -294,8 +293,8 @@
 
     def take_preload(self) -> "asyncio.Task[JobsSnapshot | None] | None":
         """Return the preload that precedes a claim and clear it; ``None`` if there is none."""
-        reading, self._preload_task = self._preload_task, None
-        return reading
+        preload_task, self._preload_task = self._preload_task, None
+        return preload_task
 
     async def _store_reachable(self) -> bool:
         """Return whether the store answers here while the leader still cannot reach it."""
@@ -318,7 +317,7 @@
         return self._link.suspicion.store_lost_since > 0
 
     async def _members_agree(self) -> bool:
-        """Ask some other members whether they hear the leader; return whether none of them does."""
+        """Ask other members whether they hear the leader; return whether a claim is justified."""
         epoch = self._link.epoch
         others = self._link.other_members()
         asked = self._rng.sample(others, min(MAX_VIEWS_REQUESTED, len(others)))
@@ -382,7 +381,7 @@
         self._lead_if_won(epoch)
 
     async def _append(self, record: Record, end: int) -> AppendResult | None:
-        """Append the claim; a duplicate is refused, and the first found by reading the topic."""
+        """Append the claim; if a retry is refused, reading the topic shows the first attempt."""
         result = await self._store.append(Topic.LEADER, [record], CLAIM_TIMEOUT_S, at=end)
         return None if isinstance(result, Unavailable) else result
 
--- a/src/sablemount/control/follow.py
+++ b/src/sablemount/control/follow.py
@@ -74,7 +74,7 @@
         self._reachable: bool | None = None
         self._next_offset: int | None = None
         """Offset of the next read; ``None`` if the topic has to be listed first."""
-        self._changes = 0
+        self._reads_with_records = 0
         """Number of reads with records since the last list."""
         self._reading: asyncio.Future[ReadResult] | None = None
         self._progress = TransferProgress()
@@ -113,7 +113,7 @@
 
     async def _missed_nothing(self) -> bool:
         """Return whether the topic ends at the offset read so far; not checked if it is busy."""
-        if self._next_offset is None or self._changes >= MIN_BUSY_READS:
+        if self._next_offset is None or self._reads_with_records >= MIN_BUSY_READS:
             return False
         end = await topic_end(self._store, self._topic, PROBE_INTERVAL_S, PAGE_TIMEOUT_S)
         return end == self._next_offset
@@ -132,7 +132,7 @@
     async def _read_on(self, seconds: float) -> bool:
         """Read new records for some seconds; return whether the store answered."""
         deadline = monotonic() + seconds
-        self._changes = 0
+        self._reads_with_records = 0
         while (remaining := deadline - monotonic()) > 0:
             asked_at = monotonic()
             result = await self._read(min(remaining, self._max_wait))
@@ -147,7 +147,7 @@
                 return True
             if result.records:
                 self._next_offset = result.end
-                self._changes += 1
+                self._reads_with_records += 1
                 self._on_records(result.records, result.end)
             self._on_answer(asked_at)
             if result.records:
--- a/src/sablemount/control/hand_over.py
+++ b/src/sablemount/control/hand_over.py
@@ -29,9 +29,9 @@
 """Seconds for which a leader that is being stopped waits for its successor to claim, which takes an
 append; that took 0.5 s in a store 91 times slower than usual, in virtual time."""
 
-RELIEF_POLL_INTERVAL_S = 1.0
+BETTER_CHECK_INTERVAL_S = 1.0
 """Seconds between checks for a better machine."""
-RELIEF_PAUSE_S = 5.0
+OFFER_PAUSE_S = 5.0
 """Seconds from the start of a leadership, or from an offer of it in vain, until it is offered."""
 MAX_STORE_DELAY_S = 0.1
 """Seconds by which an answer of the store may be overdue while the system counts as stable: a
@@ -55,15 +55,15 @@
 
     ``own_standing`` is the suitability of this machine. The leader stays if no member takes over.
     """
-    await asyncio.sleep(RELIEF_PAUSE_S)
+    await asyncio.sleep(OFFER_PAUSE_S)
     while not leader.ended.is_set():
         better = leader.members.better_candidates(own_standing) if _is_stable(leader) else []
         if not better:
-            await asyncio.sleep(RELIEF_POLL_INTERVAL_S)
+            await asyncio.sleep(BETTER_CHECK_INTERVAL_S)
             continue
         if await _request_takeover(leader, better, once_read=True):
             await wait_for_event(leader.ended, TAKEOVER_TIMEOUT_S)
-        await asyncio.sleep(RELIEF_PAUSE_S)
+        await asyncio.sleep(OFFER_PAUSE_S)
 
 
 def _is_stable(leader: Leader) -> bool:
--- a/src/sablemount/control/leader.py
+++ b/src/sablemount/control/leader.py
@@ -40,10 +40,9 @@
 COALESCE_DELAY_S = 0.004
 """Seconds that an event waits for further events before the systems run."""
 RELIST_INTERVAL_S = 1.0
-"""Seconds after which lists are read anew: a record may be dropped before it was read."""
+"""Seconds after which VM records are listed anew: one may be dropped before it was read."""
 DRAIN_TIMEOUT_S = 0.5
-"""Seconds that a planned handover waits for appends at most: 100 times the usual duration of
-one."""
+"""Seconds that a planned handover waits for appends at most: 100 times the time of a usual one."""
 DRAIN_POLL_INTERVAL_S = 0.005
 """Seconds between checks whether these appends are done: about the duration of one."""
 
@@ -209,7 +208,7 @@
 
     def _start_followers(self) -> None:
         self._unsubscribe = self._feed.subscribe(self._on_configuration)
-        vms = Follower(
+        vm_follower = Follower(
             self.ports.store,
             Topic.VMS,
             self._on_vm_list,
@@ -218,7 +217,7 @@
             self.scheduler.entries_read,
         )
         self.scheduler.entries_read(monotonic())
-        self._background.spawn(vms.run())
+        self._background.spawn(vm_follower.run())
 
     def _on_error(self, error: BaseException) -> None:
         """End the leadership because of an exception in one of its tasks."""
--- a/src/sablemount/control/leader_link.py
+++ b/src/sablemount/control/leader_link.py
@@ -27,8 +27,7 @@
 NEW_LEADER_PING_INTERVAL_S = 0.02
 """Seconds between pings while a new leader loads, which takes some 30 ms: callers wait for it."""
 NEW_LEADER_PERIOD_S = 1.0
-"""Seconds for which a leader counts as new; its load is complete by then unless the store is
-slow."""
+"""Seconds for which a leader counts as new; its load then is complete unless the store is slow."""
 MAX_PINGS_PER_S = 2_000
 """Maximum rate of the pings of all members to a leader: they take a fifth of a processor core."""
 MAX_PING_INTERVAL_S = 0.3
@@ -40,8 +39,7 @@
 CONNECT_TIMEOUT_S = 0.3
 """Seconds that connecting to the leader may take: 100 times the round trip between two zones."""
 VIEW_TIMEOUT_S = 0.2
-"""Seconds that another member has to return its view: 100 times the round trip between two
-zones."""
+"""Seconds that another member has to answer: 100 times the round trip between two zones."""
 RECONNECT_PAUSE_S = 0.05
 """Seconds between attempts to connect; the first attempt to reach a new leader is made at once."""
 
@@ -174,7 +172,7 @@
             await self._pause(RECONNECT_PAUSE_S)
 
     async def _pause(self, seconds: float) -> None:
-        """Wait for at most some seconds, or until another leader becomes known."""
+        """Wait for ``seconds`` seconds, or until another leader becomes known."""
         await wait_for_event(self._leader_changed, seconds)
 
     async def _connect(self, record: LeaderRecord) -> bool:
@@ -215,7 +213,7 @@
         return max(interval, min(MAX_PING_INTERVAL_S, self.cell / MAX_PINGS_PER_S))
 
     async def ping_now(self, timeout: float) -> None:
-        """Ping the leader at once, for at most some seconds."""
+        """Ping the leader at once; wait for its answer for at most ``timeout`` seconds."""
         link = self._link
         if link is None:
             return
--- a/src/sablemount/control/load.py
+++ b/src/sablemount/control/load.py
@@ -183,5 +183,5 @@
 
     def _state(self) -> dict[str, object]:
         seconds = round(monotonic() - self._began_at, 3)
-        far = self._progress.high_water_bytes
-        return {"epoch": self._epoch, "seconds": seconds, "tries": self._attempts, "bytes": far}
+        size = self._progress.high_water_bytes
+        return {"epoch": self._epoch, "seconds": seconds, "tries": self._attempts, "bytes": size}
--- a/src/sablemount/control/lost_writes.py
+++ b/src/sablemount/control/lost_writes.py
@@ -112,7 +112,7 @@
     # -- Evidence ----------------------------------------------------------------------------
 
     def record_done(self, answers: Iterable[Answer], unanswered: Iterable[float]) -> None:
-        """Record that an append is complete while attempts sent at ``unanswered`` are open."""
+        """Record that an append is complete while its attempts sent at ``unanswered`` are open."""
         overdue_since = monotonic() - self.overdue_after()
         if self._any_quick(answers) and any(sent_at < overdue_since for sent_at in unanswered):
             self._mark_lossy()
--- a/src/sablemount/control/member.py
+++ b/src/sablemount/control/member.py
@@ -258,12 +258,12 @@
         announce_task = self._background.spawn(
             announce(record, self._link, lambda: leader.leading, leader.members.recently_heard)
         )
-        relieve_task = self._background.spawn(offer_leadership(leader, self.settings.standing))
+        offer_task = self._background.spawn(offer_leadership(leader, self.settings.standing))
         try:
             await leader.run()
         finally:
             announce_task.cancel()
-            relieve_task.cancel()
+            offer_task.cancel()
             self.leader = None
             self._configuration_follower.set_intervals(RELIST_INTERVAL_S, self._max_read_wait())
             self._link.cell = leader.members.size
--- a/src/sablemount/control/members.py
+++ b/src/sablemount/control/members.py
@@ -119,7 +119,8 @@
         """Return the members and links in the order in which they are asked to take over.
 
         The most suitable come first, and among equals the one that started last: when all members
-        are restarted in turn, its turn is over. A member that is itself being stopped is left out.
+        are restarted in turn, that one has been restarted already. A member that is itself being
+        stopped is left out.
         """
         candidates = [
             (name, row)
--- a/src/sablemount/control/messages.py
+++ b/src/sablemount/control/messages.py
@@ -87,8 +87,7 @@
     configuration: int = -1
     """Version of the configuration that the member has."""
     cell: int = 0
-    """Number of members that its last leader counted, including that leader; 0 if none has reported
-    it."""
+    """Number of members that its last leader counted, including that leader; 0 if unknown."""
 
 
 class ViewCall(msgspec.Struct, frozen=True, tag=True):
@@ -124,8 +123,8 @@
 
     version: int
     parts: bool = False
-    """Whether it accepts the configuration in parts; a process that does not support them sends it
-    complete."""
+    """Whether it accepts the configuration in parts; a process that does not support parts answers
+    with the complete configuration."""
     of: int = -1
     """Version of which it has some parts."""
     check: int = 0
@@ -145,12 +144,14 @@
 
     epoch: int
     once_read: bool = False
-    """Whether to claim only after the persistent state is read: this leader is not being
-    stopped."""
+    """Whether to claim only once the persistent state is read: this leader is not being stopped."""
 
 
 class Announce(msgspec.Struct, frozen=True, tag=True):
-    """A new leader announces itself to a member that has not connected to it."""
+    """A new leader announces itself to a member that has not connected to it.
+
+    The member may not reach the store.
+    """
 
     leader: LeaderRecord
 
@@ -189,8 +190,7 @@
     wants_configuration: bool = False
     """Whether a leader that does not accept parts wants the member's newer configuration."""
     cell: int = 0
-    """Number of members that the leader counts, including itself; 0 if equal to that in the
-    ping."""
+    """Number of members that the leader counts, including itself; 0 if equal to the ping's."""
     best: float = FULL_STANDING
     """Suitability of the best member that could take over."""
     loaded: int = -1
@@ -219,8 +219,7 @@
     reason: str = ""
     retry_after: float = 0.0
     changing: bool = False
-    """Whether the leader is changing, so that the member that forwarded the request may retry at
-    once."""
+    """Whether the leader is changing, so that the member that forwarded this may retry at once."""
     version: int = -1
     """The leader's version of the configuration, if the call was admitted under another one."""
     organisation: str = ""
@@ -230,7 +229,7 @@
 
 
 def not_taken(reason: str, changing: bool = False) -> CallerReply:
-    """Return the answer to a request that has certainly not taken effect, with a time to retry."""
+    """Return the answer to a request that has certainly not taken effect; it asks for a retry."""
     return CallerReply(
         Outcome.NOT_TAKEN, reason=reason, retry_after=RETRY_AFTER_S, changing=changing
     )
--- a/src/sablemount/control/pages.py
+++ b/src/sablemount/control/pages.py
@@ -44,11 +44,11 @@
     """Return the newest record of each key, and the offset from which to continue reading.
 
     After ``interval`` seconds without progress on a page, a probe checks whether the store
-    responds; after ``limit`` seconds the page is abandoned, and with it those read before. The
-    pages are not a snapshot: changes made after the first page was read follow the returned offset.
-    ``progress`` records the arriving data. ``unprobed`` is the number of attempts of a page that
-    are made without a probe: one if many processes read the same list at once, which keeps the
-    store busy.
+    responds; after ``limit`` seconds without progress the page is abandoned, and with it those read
+    before. The pages are not a snapshot: changes made after the first page was read follow the
+    returned offset. ``progress`` records the arriving data. ``unprobed`` is the number of attempts
+    of a page that are made without a probe: one if many processes read the same list at once, which
+    keeps the store busy.
     """
     progress = progress or TransferProgress()
     items: list[PageItem] = []
--- a/src/sablemount/control/preload.py
+++ b/src/sablemount/control/preload.py
@@ -20,16 +20,14 @@
 __all__ = ["Preload", "JobsSnapshot", "load_records"]
 
 RETRY_INTERVAL_S = 0.4
-"""Seconds without data of a page, or of the tail after the snapshot, after which it is requested
-again."""
+"""Seconds without data after which a page, or the tail after the snapshot, is requested again."""
 STALL_TIMEOUT_S = 4.0
 """Seconds without any data after which the read of a page, or of the tail, is abandoned."""
 TAIL_TIMEOUT_S = 30.0
 """Seconds that the read of the tail may take in total."""
 MAX_AGE_S = 3.0
 """Seconds after their read for which pages are worth completing: a change of leader in a slow
-store. The time that the read itself took is not counted, since it grows with the persistent
-state."""
+store. The time that the read itself took is not counted, as it grows with the persistent state."""
 
 
 _logger = logging.getLogger("sablemount.control.preload")
@@ -87,7 +85,7 @@
     preload_task: "asyncio.Task[JobsSnapshot | None] | None",
     end: int | None,
 ) -> list[Record] | None:
-    """Return the newest records up to ``end``, after which no other process writes, if it is known.
+    """Return the newest records, up to ``end`` if it is known; no other process writes after it.
 
     ``preload_task`` is a read that may have begun before. Return ``None`` if the store does not
     answer.
--- a/src/sablemount/control/roster.py
+++ b/src/sablemount/control/roster.py
@@ -9,7 +9,7 @@
 __all__ = ["MembershipList"]
 
 MIN_VERSION_INTERVAL_S = 0.5
-"""Minimum seconds between two versions, so that members that start together are sent together."""
+"""Minimum seconds between two versions, so that members that start together are in one version."""
 MAX_LINK_SHARE = 0.2
 """Share of the leader's own link that lists may use: each new leader sends one to every member, and
 a leader that is not heard meanwhile is replaced."""
@@ -43,7 +43,7 @@
             self.version += 1
 
     def addresses_since(self, version: int) -> dict[str, str] | None:
-        """Return the addresses for a member that has some version.
+        """Return the addresses for a member that has ``version``.
 
         Return ``None`` if that version is current, or if the link is in use for other members: the
         member asks again with its next ping, and until then knows the addresses from the previous
--- a/src/sablemount/control/rpc.py
+++ b/src/sablemount/control/rpc.py
@@ -27,7 +27,8 @@
 """Time for which sent bytes may stay unacknowledged before the connection is dropped."""
 IDLE_TIMEOUT_S = 5.0
 """Seconds without a frame after which a connection opened by another member is closed: that member
-pings every 0.15 s. A connection that has failed only in its direction would never show it here."""
+pings every 0.15 s. A connection that has failed only in the direction from that member would never
+show it here."""
 LISTEN_BACKLOG = 4_096
 """Connections that may wait to be accepted: all members of a large cell connect to a new leader at
 once, and one that does not fit in the queue is retried only seconds later."""
@@ -140,7 +141,7 @@
 
 
 def set_user_timeout(stream: iostream.IOStream) -> None:
-    """Drop a connection whose sent bytes stay unacknowledged for ``USER_TIMEOUT_MS``."""
+    """Have the kernel drop a connection left unacknowledged for ``USER_TIMEOUT_MS``."""
     option = getattr(socket, "TCP_USER_TIMEOUT", None)
     if option is not None and stream.socket is not None:
         stream.socket.setsockopt(socket.IPPROTO_TCP, option, USER_TIMEOUT_MS)
--- a/src/sablemount/control/standing.py
+++ b/src/sablemount/control/standing.py
@@ -16,8 +16,7 @@
 SUFFICIENT_LINK_MBPS = 50.0
 """Mbit/s with which a leader's link has no queue while a step of a hundred tasks is placed."""
 SUFFICIENT_DESCRIPTORS = 2_000
-"""Descriptors that a leader keeps open: those to the VMs, the members, the store and its
-callers."""
+"""Descriptors that a leader keeps open: to the VMs, the members, the store and its callers."""
 SUFFICIENT_MEMORY_MB = 96.0
 """MB that a leader uses at most."""
 FULL_STANDING = 1.0
@@ -27,11 +26,10 @@
 """Seconds for which a member leaves a claim to those with twice its suitability: they detect the
 silence of the leader within 0.15 s of each other, and claim 0.05 s later."""
 MAX_DELAY_S = 0.6
-"""Maximum of this delay in seconds: the better machines may have failed together with the
-leader."""
+"""Maximum of this delay in seconds: the better machines may have failed with the leader."""
 MIN_IMPROVEMENT = 2.0
-"""Factor by which a machine has to be more suitable to be handed a healthy leader's leadership,
-since a change of leader costs callers some 0.1 s."""
+"""Factor by which a machine has to be more suitable than a healthy leader's to be offered the
+leadership, since a change of leader costs callers some 0.1 s."""
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
--- a/src/sablemount/control/store.py
+++ b/src/sablemount/control/store.py
@@ -107,7 +107,7 @@
 
 
 class Trimmed(msgspec.Struct, frozen=True):
-    """The records at the offset have been dropped; the newest of each key have to be listed."""
+    """The records at the offset have been dropped; the newest of each key has to be listed."""
 
 
 ReadResult: TypeAlias = Records | Trimmed | Unavailable
@@ -132,7 +132,8 @@
     ) -> Page | Unavailable:
         """Return the newest record of each key that follows ``after``.
 
-        ``progress`` records the arriving data of the answer, each of which restarts the time-out.
+        ``progress`` records the data of the answer as they arrive; each arrival restarts the
+        time-out.
         """
         ...
 
--- a/src/sablemount/control/suspicion.py
+++ b/src/sablemount/control/suspicion.py
@@ -37,13 +37,13 @@
 """Seconds above which an answer counts as late: 20 times the usual response time."""
 LATENCY_FACTOR = 3.0
 """Multiple of the recent response time by which a leader with late answers may be silent beyond the
-usual timeout. The queue of an overloaded link or core grows from answer to answer, whereas a leader
-that has failed stops at once."""
+usual time-out. The queue of an overloaded link or core grows from answer to answer, whereas a
+leader that has failed stops at once."""
 MAX_EXTRA_SILENCE_S = 1.0
-"""Maximum number of seconds by which late answers extend the timeout: callers are refused during
+"""Maximum number of seconds by which late answers extend the time-out: callers are refused during
 this time if the leader has failed."""
 LATENCY_DECAY = 0.9
-"""Factor applied to the remembered response time with each answer: it halves within a second."""
+"""Factor applied to the remembered response time with each answer; it halves that within 1 s."""
 ISOLATED_TIMEOUT_S = 4.0
 """Seconds of silence after which a member that reaches no other member claims nevertheless."""
 
@@ -105,7 +105,7 @@
         self.load_position = pong.loaded
 
     def extra_silence(self) -> float:
-        """Return the seconds by which the next answer may exceed the usual timeout."""
+        """Return the seconds by which the next answer may exceed the usual time-out."""
         return (
             min(MAX_EXTRA_SILENCE_S, LATENCY_FACTOR * self.latency)
             if self.latency > LATE_THRESHOLD_S
--- a/src/sablemount/control/turns.py
+++ b/src/sablemount/control/turns.py
@@ -7,7 +7,7 @@
 
 
 class TimedSemaphore:
-    """Semaphore with ``slots`` slots, each of which is released after ``max_hold_s`` seconds.
+    """Semaphore with ``slots`` slots, each held for at most ``max_hold_s`` seconds.
 
     Work that outlasts its slot goes on, but no longer delays other work.
     """
--- a/src/sablemount/control/vm_calls.py
+++ b/src/sablemount/control/vm_calls.py
@@ -28,18 +28,17 @@
 IDLE_POLLS_PER_S = 1_500
 """Maximum rate of polls of all idle VMs together, which takes a third of a processor core."""
 MAX_HOLD_WAIT_S = 1.7
-"""Longest wait of a poll of an idle VM: with its slack, the poll ends before the VM counts as
-silent."""
+"""Longest wait of a poll of an idle VM: with its slack it ends before the VM counts as silent."""
 SHORT_WAIT_S = 0.1
-"""Same while a start request is unanswered."""
+"""How long a poll waits for a completion while a start request to its VM is unanswered."""
 HOLD_SLACK_S = 0.35
 """Time beyond its wait that a poll may take before the VM counts as not answering."""
 MAX_NEW_CONNECTIONS = 64
 """Maximum number of concurrent polls that open a connection: each takes processor time when it is
 sent and when its answer arrives, which delays all other work of the process."""
 MAX_SLOT_S = 0.02
-"""Time after which a poll that opens a connection no longer delays others: a VM that answers takes
-a few ms, and many VMs may be silent."""
+"""Time after which a poll or start request that opens a connection no longer delays others: a VM
+that answers takes a few ms, and many VMs may be silent."""
 MAX_STARTS = 64
 """Maximum number of concurrent start requests: each opens a connection as well, since a poll
 occupies the existing one."""
@@ -76,8 +75,8 @@
 """Remaining validity of a start request below which it is not sent again."""
 NOTHING_SENT = (CallError.NOT_SENT, CallError.REFUSED)
 EPOCH_SHIFT = 32
-"""Low bits of a fence, which increase under one leader: by one for each incarnation of a VM and for
-each request that may arrive late, so that they last for years."""
+"""Number of low bits of a fence. They increase under one leader, by one for each incarnation of a
+VM and for each request that may arrive late, so that they last for years."""
 REQUEST_TIMEOUT_S = 0.5
 """Time-out of a throttle request, or of a stop request, which takes 0.4 s at most."""
 MS_PER_S = 1000.0
@@ -91,9 +90,10 @@
 class VmCalls:
     """Communicates with the VMs for the duration of one leadership.
 
-    ``authority`` returns whether requests may be sent now. ``fenced`` is called with the name of a
-    VM that has refused the fence, and ``kick`` after any event that may allow new decisions of the
-    scheduler. ``recorded`` returns a future that is done once all pending records are stored.
+    ``has_authority`` returns whether requests may be sent now. ``on_fenced`` is called with the
+    name of a VM that has refused the fence, and ``wake`` after any event that may allow new
+    decisions of the scheduler. ``when_recorded`` returns a future that is done once all pending
+    records are stored.
     """
 
     def __init__(
@@ -101,18 +101,18 @@
         scheduler: JobScheduler,
         port: VmPort,
         epoch: int,
-        authority: Callable[[], bool],
-        fenced: Callable[[str], None],
-        kick: Callable[[], None],
-        recorded: Callable[[], "asyncio.Future[None]"],
+        has_authority: Callable[[], bool],
+        on_fenced: Callable[[str], None],
+        wake: Callable[[], None],
+        when_recorded: Callable[[], "asyncio.Future[None]"],
     ) -> None:
         self._scheduler = scheduler
         self._port = port
         self._epoch = epoch
-        self._authority = authority
-        self._fenced = fenced
-        self._kick = kick
-        self._recorded = recorded
+        self._has_authority = has_authority
+        self._on_fenced = on_fenced
+        self._wake = wake
+        self._when_recorded = when_recorded
         self._polling: dict[str, asyncio.Task[None]] = {}
         self._link_slots = TimedSemaphore(MAX_NEW_CONNECTIONS, MAX_SLOT_S)
         self._start_slots = TimedSemaphore(MAX_STARTS, MAX_SLOT_S)
@@ -131,7 +131,7 @@
         connected = False
         try:
             while not row.terminated and self._scheduler.state.vms.get(row.name) is row:
-                if not self._authority():
+                if not self._has_authority():
                     await asyncio.sleep(NO_AUTHORITY_PAUSE_S)
                     continue
                 connected = (
@@ -149,19 +149,19 @@
         """Poll over a possibly new connection, once a slot is free."""
         async with self._link_slots.slot():
             # Another leader may have taken over during the wait for the slot.
-            return self._authority() and await self._poll(row)
+            return self._has_authority() and await self._poll(row)
 
     def poll_now(self, action: PollVm) -> None:
         """Poll a VM now, without waiting for a completion."""
         row = self._scheduler.state.vms.get(action.vm)
-        if row is not None and self._authority():
+        if row is not None and self._has_authority():
             self._background.spawn(self._poll_now(row))
 
     async def _poll_now(self, row: VmRow) -> None:
         await self._poll(row, at_once=True)
 
     async def _poll(self, row: VmRow, at_once: bool = False) -> bool:
-        """Poll once; return whether the next poll may follow without a pause."""
+        """Poll once; return whether to poll again over the connection without a pause."""
         scheduler = self._scheduler
         scheduler.update_time()
         known = row.first_report_at > 0
@@ -194,13 +194,13 @@
             scheduler.acks.ack_unanswered(row, result not in NOTHING_SENT)
         if isinstance(result, LaterIncarnation):
             scheduler.incarnation_replaced(row, result, acked)
-            self._kick()
+            self._wake()
             return False
         if result is CallError.FENCED:
             self._handle_refused_fence(row, fence)
         elif result is CallError.OTHER_INCARNATION:
             scheduler.vms.incarnation_ended(row.name)
-            self._kick()
+            self._wake()
         elif result is CallError.REFUSED:
             scheduler.vms.connection_refused(row)
             scheduler.vms.poll_unanswered(row)
@@ -214,9 +214,9 @@
         return (self._epoch << EPOCH_SHIFT) + row.fence
 
     def _handle_refused_fence(self, row: VmRow, fence: int) -> None:
-        """Handle a refused fence: a later leader has sent one, unless a later call raised ours."""
+        """Handle a refused fence: a later leader has sent a higher one, unless ours has risen."""
         if not row.terminated and fence == self._fence(row):
-            self._fenced(row.name)
+            self._on_fenced(row.name)
 
     def _wait(self, row: VmRow, acked: int) -> float:
         if acked or row.last_seen_completion > row.last_recorded_completion:
@@ -235,7 +235,7 @@
 
     async def _handle_report(self, row: VmRow, report: VmReport) -> None:
         self._scheduler.vm_reported(report)
-        self._kick()
+        self._wake()
         if row.last_seen_completion <= row.last_recorded_completion:
             if self._scheduler.acks.pending(row) and not self._scheduler.acks.due(row):
                 # A request to the VM is in flight; the next report shows its outcome.
@@ -243,7 +243,7 @@
                 await asyncio.sleep(UNANSWERED_PAUSE_S if late else UNSETTLED_PAUSE_S)
             return
         # The next poll acknowledges these completions, so it waits until they are stored.
-        recorded = self._recorded()
+        recorded = self._when_recorded()
         await asyncio.wait([recorded], timeout=UNRECORDED_PAUSE_S)
 
     # -- Requests ----------------------------------------------------------------------------
@@ -281,7 +281,7 @@
         for _ in range(MAX_START_ATTEMPTS):
             async with self._start_slots.slot():
                 remaining = self._remaining(action)
-                if row.terminated or remaining < MIN_REMAINING_S or not self._authority():
+                if row.terminated or remaining < MIN_REMAINING_S or not self._has_authority():
                     break
                 if run.listed:
                     # Another request could start it on the VM's next incarnation after it has
@@ -304,7 +304,7 @@
                 continue
             if result is CallError.OTHER_INCARNATION:
                 self._scheduler.vms.incarnation_ended(action.vm)
-                self._kick()
+                self._wake()
                 return
             if result is CallError.REFUSED:
                 self._scheduler.vms.connection_refused(row)
@@ -313,11 +313,11 @@
                 self._scheduler.acks.start_timed_out(row)
         if certain:
             self._scheduler.reconcile.run_not_started(action.vm, action.task, action.run)
-            self._kick()
+            self._wake()
 
     def _handle_refusal(self, action: StartRun, why: StartRefusal, certain: bool) -> None:
         self._scheduler.start_refused(action.vm, action.task, action.run, why, certain)
-        self._kick()
+        self._wake()
 
     def _validity(self, action: StartRun, row: VmRow, run: RunRow) -> float:
         """Return for how many seconds a start request is valid and its run is leased."""
@@ -342,7 +342,7 @@
     async def _request(self, vm: str, send: RequestCall) -> CallError | None:
         """Send a request if the leader has the authority; return the error of the call, if any."""
         row = self._scheduler.state.vms.get(vm)
-        if row is None or not self._authority():
+        if row is None or not self._has_authority():
             return None
         fence = self._fence(row)
         result = await send(row.info.address, fence, REQUEST_TIMEOUT_S)
