--- a/src/sablemount/control/caller_route.py
+++ b/src/sablemount/control/caller_route.py
@@ -47,7 +47,7 @@
     """Admits callers' requests and forwards each to the current leader.
 
     ``leading`` returns the ``Leader`` of this process while it leads, and ``served_at`` the local
-    time at which it last led or received a heartbeat from an active leader.
+    time at which it last led or was answered by an active leader.
     """
 
     def __init__(
--- a/src/sablemount/control/configuration_feed.py
+++ b/src/sablemount/control/configuration_feed.py
@@ -267,8 +267,8 @@
     async def _pull(self, call: Call, source: str) -> None:
         """Request parts one after the other, until all have arrived or a request fails.
 
-        If the configuration is still incomplete then, the transfer resumes with the next heartbeat
-        of the other side.
+        If the configuration is still incomplete then, the transfer resumes with the next ping or
+        pong of the other side.
         """
         try:
             while await self._pull_part(call, source):
