--- a/src/sablemount/control/callers.py
+++ b/src/sablemount/control/callers.py
@@ -111,18 +111,18 @@
 
     async def _submit(self, queue: Queue, name: str, call: CallerCall) -> CallerReply:
         spec = call.spec
-        fault = _fault(name, spec)
-        if spec is None or fault is not None:
-            fault = fault or SpecError("$", "no job")
-            return CallerReply(Outcome.INVALID, path=fault.path, reason=fault.reason)
+        error = _spec_error(name, spec)
+        if spec is None or error is not None:
+            error = error or SpecError("$", "no job")
+            return CallerReply(Outcome.INVALID, path=error.path, reason=error.reason)
         if self._is_hidden(name, queue, call):
             return CallerReply(Outcome.NAME_TAKEN, reason="the name is not available")
         known = self._scheduler.state.jobs.get(name)
         if known is None:
-            fault = self._scheduler.record_size_error(name, queue, spec, call.organisation)
-            fault = fault or self._cap_fault(call.organisation, spec)
-            if fault is not None:
-                return CallerReply(Outcome.INVALID, path=fault.path, reason=fault.reason)
+            error = self._scheduler.record_size_error(name, queue, spec, call.organisation)
+            error = error or self._cap_error(call.organisation, spec)
+            if error is not None:
+                return CallerReply(Outcome.INVALID, path=error.path, reason=error.reason)
         if self._commits.is_store_silent():
             refusal = _refusal_while_silent(known)
             if refusal is not None:
@@ -134,8 +134,8 @@
         self._wake()
         return await self._wait_for_acceptance(name, queue)
 
-    def _cap_fault(self, name: str, spec: JobSpec) -> SpecError | None:
-        """Return the part of a job that can never fit into its organisation's cap, if any."""
+    def _cap_error(self, name: str, spec: JobSpec) -> SpecError | None:
+        """Return the error for a job of which a part can never fit into its organisation's cap."""
         organisation = self._scheduler.state.organisations.get(name)
         return None if organisation is None else cap_error(spec, organisation.cap)
 
@@ -179,7 +179,7 @@
         return CallerReply(Outcome.DONE, state=job.visible_state.name.lower())
 
 
-def _fault(name: str, spec: JobSpec | None) -> SpecError | None:
+def _spec_error(name: str, spec: JobSpec | None) -> SpecError | None:
     if not (0 < len(name) <= MAX_NAME_LENGTH and name.isascii() and name.isalnum()):
         return SpecError("$.id", "not a name of a job")
     return None if spec is None else check_spec(spec)
