--- a/src/sablemount/control/announcer.py
+++ b/src/sablemount/control/announcer.py
@@ -17,7 +17,7 @@
 ROUND_INTERVAL_S = 0.2
 """Seconds between two rounds: a member may be starting, or be cut off for a moment."""
 CALL_TIMEOUT_S = 0.2
-"""Seconds that a member has to answer: 100 times the round trip between two zones."""
+"""Seconds that a member has to answer: 100 times the latency between two zones."""
 MAX_CONCURRENT_CALLS = 16
 """Concurrent calls: each takes processor time of a leader whom callers are waiting for."""
 
--- a/src/sablemount/control/leader_link.py
+++ b/src/sablemount/control/leader_link.py
@@ -37,9 +37,9 @@
 """Seconds that a ping waits for its answer. The rest of the time until the leader is suspected
 allows for a ping over a new connection, since the old one may have failed without a reset."""
 CONNECT_TIMEOUT_S = 0.3
-"""Seconds that connecting to the leader may take: 100 times the round trip between two zones."""
+"""Seconds that connecting to the leader may take: 100 times the latency between two zones."""
 VIEW_TIMEOUT_S = 0.2
-"""Seconds that another member has to answer: 100 times the round trip between two zones."""
+"""Seconds that another member has to answer: 100 times the latency between two zones."""
 RECONNECT_PAUSE_S = 0.05
 """Seconds between attempts to connect; the first attempt to reach a new leader is made at once."""
 
