--- a/src/sablemount/control/caller_route.py
+++ b/src/sablemount/control/caller_route.py
@@ -35,8 +35,8 @@
 UNCERTAIN_WAIT_S = 2.0
 """How long a request whose answer was lost with the leader is retried at the next leader.
 
-The request may have taken effect, which only the next leader knows. It usually takes over within
-1 s, and within 2 s with a store 91 times slower than usual; callers wait 3 s."""
+The request may have taken effect, which only the next leader knows. That one usually takes over
+within 1 s, and within 2 s with a store 91 times slower than usual; callers wait 3 s."""
 REFUSED_OUTCOMES = (Outcome.NOT_TAKEN, Outcome.NO_QUEUE, Outcome.NO_KEY, Outcome.NAME_TAKEN)
 """Outcomes that would be wrong if an earlier attempt took effect."""
 
@@ -47,7 +47,7 @@
     """Admits callers' requests and forwards each to the current leader.
 
     ``leading`` returns the ``Leader`` of this process while it leads, and ``served_at`` the local
-    time at which it last led or received a heartbeat from an active leader.
+    time at which it last led or was answered by an active leader.
     """
 
     def __init__(
--- a/src/sablemount/control/callers.py
+++ b/src/sablemount/control/callers.py
@@ -38,7 +38,7 @@
 
     ``has_authority`` returns whether this process has the authority to lead, and ``confirmed``
     whether the store has recently confirmed it: without that, another leader may have accepted jobs
-    that are not known here. ``kick`` lets the scheduler act on a change.
+    that are not known here. ``wake`` lets the scheduler act on a change.
     """
 
     def __init__(
@@ -47,13 +47,13 @@
         commits: CommitLoop,
         has_authority: Callable[[], bool],
         confirmed: Callable[[], bool],
-        kick: Callable[[], None],
+        wake: Callable[[], None],
     ) -> None:
         self._scheduler = scheduler
         self._commits = commits
         self._has_authority = has_authority
         self._confirmed = confirmed
-        self._kick = kick
+        self._wake = wake
         self._configuration = Configuration()
         self._queues = QueueTable(())
         """The queues of ``_configuration``."""
@@ -111,18 +111,18 @@
 
     async def _submit(self, queue: Queue, name: str, call: CallerCall) -> CallerReply:
         spec = call.spec
-        fault = _fault(name, spec)
-        if spec is None or fault is not None:
-            fault = fault or SpecError("$", "no job")
-            return CallerReply(Outcome.INVALID, path=fault.path, reason=fault.reason)
+        error = _spec_error(name, spec)
+        if spec is None or error is not None:
+            error = error or SpecError("$", "no job")
+            return CallerReply(Outcome.INVALID, path=error.path, reason=error.reason)
         if self._is_hidden(name, queue, call):
             return CallerReply(Outcome.NAME_TAKEN, reason="the name is not available")
         known = self._scheduler.state.jobs.get(name)
         if known is None:
-            fault = self._scheduler.record_size_error(name, queue, spec, call.organisation)
-            fault = fault or self._cap_fault(call.organisation, spec)
-            if fault is not None:
-                return CallerReply(Outcome.INVALID, path=fault.path, reason=fault.reason)
+            error = self._scheduler.record_size_error(name, queue, spec, call.organisation)
+            error = error or self._cap_error(call.organisation, spec)
+            if error is not None:
+                return CallerReply(Outcome.INVALID, path=error.path, reason=error.reason)
         if self._commits.is_store_silent():
             refusal = _refusal_while_silent(known)
             if refusal is not None:
@@ -131,11 +131,11 @@
         if self._scheduler.submit(name, queue, spec, call.organisation) is Submission.KNOWN:
             self._log("job known", name, queue)
             return CallerReply(Outcome.DONE, state="known")
-        self._kick()
+        self._wake()
         return await self._wait_for_acceptance(name, queue)
 
-    def _cap_fault(self, name: str, spec: JobSpec) -> SpecError | None:
-        """Return the part of a job that can never fit into its organisation's cap, if any."""
+    def _cap_error(self, name: str, spec: JobSpec) -> SpecError | None:
+        """Return the error for a job of which a part can never fit into its organisation's cap."""
         organisation = self._scheduler.state.organisations.get(name)
         return None if organisation is None else cap_error(spec, organisation.cap)
 
@@ -170,7 +170,7 @@
         job = self._scheduler.cancel(name)
         if job is None:
             return self._no_job()
-        self._kick()
+        self._wake()
         if job.visible_state is not JobState.CANCELLED and not job.visible_state.final:
             await asyncio.wait([self._commits.when_recorded()], timeout=ACCEPT_TIMEOUT_S)
         if not job.visible_state.final:
@@ -179,7 +179,7 @@
         return CallerReply(Outcome.DONE, state=job.visible_state.name.lower())
 
 
-def _fault(name: str, spec: JobSpec | None) -> SpecError | None:
+def _spec_error(name: str, spec: JobSpec | None) -> SpecError | None:
     if not (0 < len(name) <= MAX_NAME_LENGTH and name.isascii() and name.isalnum()):
         return SpecError("$.id", "not a name of a job")
     return None if spec is None else check_spec(spec)
