--- a/src/sablemount/control/configuration_feed.py
+++ b/src/sablemount/control/configuration_feed.py
@@ -45,7 +45,8 @@
 MIN_PART_TIMEOUT_S = 0.5
 """Initial time-out of a part: 12 times its transmission time on a link of 5 Mbit/s."""
 MAX_PART_TIMEOUT_S = 2.0
-"""Longest time-out of a part; each part that times out doubles it, as the link may be congested."""
+"""Longest time-out of a part. The time-out doubles with each part that is not answered in time, as
+the link may be congested."""
 PUSH_TIMEOUT_S = 2.0
 """Time-out of sending a complete configuration to the leader: 0.8 MB take 1.3 s at 5 Mbit/s."""
 EARLIER_VERSIONS = 2
@@ -266,8 +267,8 @@
     async def _pull(self, call: Call, source: str) -> None:
         """Request parts one after the other, until all have arrived or a request fails.
 
-        If the configuration is still incomplete then, the transfer resumes with the next heartbeat
-        of the other side.
+        If the configuration is still incomplete then, the transfer resumes with the next ping or
+        pong of the other side.
         """
         try:
             while await self._pull_part(call, source):
