--- a/src/sablemount/jobs/actions.py
+++ b/src/sablemount/jobs/actions.py
@@ -39,7 +39,7 @@
 
 
 class ThrottleRun(msgspec.Struct, frozen=True):
-    """Let a best-effort run work at a percentage of its full speed."""
+    """Set the speed of a best-effort run to a percentage of its full speed."""
 
     vm: str
     task: str
@@ -48,7 +48,10 @@
 
 
 class AskAdvice(msgspec.Struct, frozen=True):
-    """Ask through a call slot which VMs may run a step; ``expected_s`` is the expected time."""
+    """Ask through a call slot which VMs may run a step.
+
+    ``expected_s`` is the expected duration of the call.
+    """
 
     call_slot: str
     step: str
@@ -93,7 +96,7 @@
 
 
 class VmReport(msgspec.Struct, frozen=True):
-    """A VM's report; times are local monotonic seconds, the clock is the VM's (ms)."""
+    """A VM's report; ``sent_at`` is local monotonic seconds, ``clock_ms`` the VM's clock."""
 
     vm: str
     sent_at: float
--- a/src/sablemount/jobs/caps.py
+++ b/src/sablemount/jobs/caps.py
@@ -60,10 +60,10 @@
 
 def cap_error(spec: JobSpec, cap: Shape) -> SpecError | None:
     """Return which part of a job a cap can never hold: a single task, or an entire gang."""
-    return next(_cap_faults(spec, cap), None)
+    return next(_cap_errors(spec, cap), None)
 
 
-def _cap_faults(spec: JobSpec, cap: Shape) -> Iterator[SpecError]:
+def _cap_errors(spec: JobSpec, cap: Shape) -> Iterator[SpecError]:
     for number, step in enumerate(spec.steps):
         path = f"$.steps[{number}]"
         for field in ("cores", "memory", "accelerators"):
--- a/src/sablemount/jobs/job_lines.py
+++ b/src/sablemount/jobs/job_lines.py
@@ -18,7 +18,10 @@
 """Largest number of bytes of runs in a line about a job's end; its other fields take 400."""
 
 RunColumns = tuple[str, int, str, float, float, str]
-"""Task within the job, run number, VM, start and end (seconds since ``known``), and outcome."""
+"""Task within the job, run number, VM, start, end and outcome of a run.
+
+Start and end are in seconds since this leader learnt of the job, as is the field ``known``.
+"""
 
 
 def log_placement(
--- a/src/sablemount/jobs/journal.py
+++ b/src/sablemount/jobs/journal.py
@@ -26,8 +26,9 @@
 __all__ = ["Batch", "Journal"]
 
 SUSPECT_TIME_S = 2.0
-"""Time after its start request for which a run is recorded with its VM even though the VM reports:
-a crash may come 0.01 s after a start, and the leader may end before it knows."""
+"""Time after its start request for which a run is recorded with a VM that reports: a crash may come
+0.01 s after a start, and the leader may end before it knows. With a silent VM, all runs are
+recorded."""
 MAX_SUSPECTS = 60
 """Largest number of tasks recorded with a VM: 1.7 KB."""
 CALL_LIMIT_DIVISOR = 2
@@ -42,8 +43,7 @@
     job_states: dict[str, int] = {}
     """State of the jobs whose progress is in the batch, by job."""
     vms_in_use: dict[str, int] = {}
-    """VMs that may be given work once the batch is stored, each with the number of its use record.
-    """
+    """Number of the use record, by VM that may be given work once the batch is stored."""
     completions: dict[str, int] = {}
     """Number of the last recorded completion, by VM."""
     recorded_runs: list[RunRow] = []
--- a/src/sablemount/jobs/model.py
+++ b/src/sablemount/jobs/model.py
@@ -35,10 +35,9 @@
 MAX_PAYLOAD_BYTES = 4_000
 """Largest payload of a job, as documented by the platform."""
 MAX_STEPS = 1_000
-"""Largest number of steps of a job: each takes rows of tables for as long as the job lives."""
+"""Largest number of steps of a job: each takes rows of tables for as long as the job exists."""
 MAX_TASKS = 20_000
-"""Largest number of tasks of a job, so that no single job takes a large part of a process's memory.
-"""
+"""Largest number of tasks of a job: no job may take a large part of a process's memory."""
 MAX_SPEC_BYTES = 250_000
 """Largest size of an entire job as recorded: 12 KB less than the usual limit of a record."""
 
--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -414,7 +414,7 @@
             self.reconcile.run_not_started(vm, task, number)
 
     def has_uncertain_start(self, vm: str) -> bool:
-        """Return whether it is unknown of some requested start whether the VM carried it out."""
+        """Return whether a VM has an unanswered start request that it may have carried out."""
         row = self.state.vms.get(vm)
         return row is not None and any(run.state is RunState.SENT for run in row.runs.values())
 
--- a/src/sablemount/jobs/sizes.py
+++ b/src/sablemount/jobs/sizes.py
@@ -60,7 +60,10 @@
 
 
 def _max_progress_size(name: str, spec: JobSpec, times: int) -> int:
-    """Return the largest size of the progress record after some number of repetitions."""
+    """Return the largest size of a progress record that holds only which tasks are done.
+
+    ``times`` is the number of repetitions that it covers.
+    """
     key = len(f"{times - 1}.{len(spec.steps) - 1}")
     steps = sum(
         MAX_STEP_BASE_BYTES + key + step.count // TASKS_PER_MASK_DIGIT + 1 for step in spec.steps
--- a/src/sablemount/jobs/state.py
+++ b/src/sablemount/jobs/state.py
@@ -72,7 +72,7 @@
         self.entries_readable_since = NEVER
         """When the entries could be read again after that period."""
         self.unverified_vms: dict[str, VmRow] = {}
-        """VMs that a probe has to show to list their completions."""
+        """VMs that must show by a probe that they list their completions."""
         self.orphans: dict[tuple[str, str, int], RunRow] = {}
         """Runs that belong to no open task and are being stopped, by VM, task and run."""
         self.broken_gangs: list[tuple[StepRow, int]] = []
@@ -246,9 +246,9 @@
         key = (run.task, run.number)
         run.previous_vm = run.previous_vm or run.vm
         orphaned = self.orphans.pop((run.vm, *key), None)
-        before = self.vms[run.vm]
-        del before.runs[key]
-        before.free_capacity = before.free_capacity.plus(run.charge)
+        previous = self.vms[run.vm]
+        del previous.runs[key]
+        previous.free_capacity = previous.free_capacity.plus(run.charge)
         run.vm = vm.name
         run.listed = False
         run.started_at = 0.0
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -29,8 +29,8 @@
 
 NEVER = -1e9
 MAX_KEPT_COMPLETIONS = 400
-"""Completed runs kept per job until its end is logged; a job has at most three runs per task unless
-it is long-running."""
+"""Completed runs kept per job until its end is logged: at most three times the tasks of a job,
+except for long-running jobs."""
 ISOLATE_AFTER_CRASHES = 2
 """Crashes under a task after which it runs isolated from other jobs."""
 MAX_CRASH_WEIGHT = 3.0
@@ -88,8 +88,8 @@
     recorded: bool = False
     """Whether the store holds everything that must be recorded before the start request."""
     is_probe: bool = False
-    """Whether the run is a probe, which shows whether its VM lists completions and ends before it
-    has done any work."""
+    """Whether the run is a probe: it shows whether its VM lists completions, and ends before it has
+    done any work."""
     charges_whole_vm: bool = False
     """Whether the whole VM is charged for the run, because its job is no longer known."""
     organisation: str = ""
@@ -97,8 +97,7 @@
     cap_charge: Shape = Shape()
     """What the run counts against its organisation's cap."""
     settle_clock_ms: float = 0.0
-    """VM clock in ms: a run that a report with a later clock does not list will never exist there.
-    """
+    """Time on the VM's clock after which a run that the VM does not list will never be there."""
     started_at: float = 0.0
     stop_sent_at: float = NEVER
     listed: bool = False
@@ -224,8 +223,8 @@
     tickets: dict[str, Ticket] = field(default_factory=dict)
     denied_vms: set[str] = field(default_factory=set)
     calls_in_flight: int = 0
-    """Calls in flight."""
     waiting_since: float = NEVER
+    """When the first of the calls in flight was sent, or the last call was abandoned."""
     waited_s: float = 0.0
     """Seconds spent waiting for answers so far."""
     failures: int = 0
@@ -318,8 +317,7 @@
     next_repetition: int = 0
     begun: bool = False
     from_previous_leader: bool = False
-    """Whether the job was accepted by a previous leader, so that runs of it may not have been seen
-    yet."""
+    """Whether a previous leader accepted the job, so that it may have runs not yet known here."""
     ended_ms: float = 0.0
     objective_at: float = 0.0
     """Time up to which its completion earns full credit."""
@@ -373,8 +371,8 @@
     completions_unreliable: bool = False
     """Whether completions there may go unlisted, so that nothing may be started."""
     unverified: bool = False
-    """Whether that is only suspected, so that a probe may show the VM to list its completions; see
-    ``proofs.py``."""
+    """Whether that is only suspected, so that a probe may show that the VM lists its completions;
+    see ``proofs.py``."""
     probes: int = 0
     """Number of probes started on the VM."""
     next_probe_at: float = NEVER
@@ -396,8 +394,7 @@
     start_timed_out_at: float = NEVER
     """When a start request last timed out without an answer."""
     ack_in_flight: bool = False
-    """Whether an acknowledgement of completions is in flight, so that nothing is started meanwhile.
-    """
+    """Whether an acknowledgement of completions is in flight, so that nothing may be started."""
     delayed_by_ack: bool = False
     """Whether an acknowledgement in flight or overdue has delayed a start there."""
     unacknowledged_since: float | None = None
@@ -417,8 +414,7 @@
     reserved_priority: int = 0
     """Priority for which its capacity is reserved."""
     reserved_for: str = ""
-    """Step for which alone its capacity is reserved; empty if any step of that priority may use it.
-    """
+    """Only step that its capacity is reserved for; empty if any of that priority may use it."""
     reserved_until: float = NEVER
     """Until when its capacity is reserved for that step, or for work of that priority or more
     urgent work."""
