--- a/src/sablemount/jobs/systems/choice.py
+++ b/src/sablemount/jobs/systems/choice.py
@@ -23,18 +23,18 @@
 """Time for which a failed task waits for capacity on another VM. It is below the 3 s for which a
 job may have nothing running while there is free capacity for it."""
 NO_TICKET_PENALTY = 3.0
-"""Penalty of a VM without a valid ticket. Without it, steps whose bookings make each other's VMs
-the fullest would request new tickets endlessly."""
+"""Penalty of a VM without a valid ticket. Without it, steps whose reservations make each other's
+VMs the fullest would request new tickets endlessly."""
 
 
 class Choice:
-    """Packs tasks onto the fullest VM that fits, with penalties for unsuitable VMs."""
+    """Packs tasks onto the fullest VM that fits, with penalties for VMs that cost more."""
 
-    def __init__(self, state: State, advice: Advice, trials: Isolation, speeds: Speeds) -> None:
+    def __init__(self, state: State, advice: Advice, isolation: Isolation, speeds: Speeds) -> None:
         self._state = state
         self._speeds = speeds
         self._advice = advice
-        self._trials = trials
+        self._isolation = isolation
 
     def assign(self, step: StepRow, tasks: list[TaskRow], rows: list[VmRow]) -> Assignment:
         """Choose a VM for as many tasks as there is capacity for.
@@ -85,7 +85,7 @@
     def _assign_uniform(
         self, step: StepRow, tasks: list[TaskRow], fitting: list[VmRow], costs: dict[str, float]
     ) -> Assignment:
-        """Choose VMs for tasks that have neither failed nor crashed, with one pass over all VMs."""
+        """Choose VMs for tasks without failures or crashes, in a single pass over the VMs."""
         charge = step.spec.charge
         order = [
             (self._score(step, row, row.free_capacity, costs[row.name]), number, row.free_capacity)
@@ -112,8 +112,8 @@
         found = self._not_failed_on(task, rows, fitting)
         if not task.crashes:
             return found
-        found = [row for row in found if self._trials.may_start(task, row)]
-        return self._trials.prefer_unaffected(task, rows, found)
+        found = [row for row in found if self._isolation.may_start(task, row)]
+        return self._isolation.prefer_unaffected(task, rows, found)
 
     def _not_failed_on(self, task: TaskRow, rows: list[VmRow], fitting: list[VmRow]) -> list[VmRow]:
         """Return the VMs with capacity where a task has not failed.
@@ -198,7 +198,7 @@
 
 
 def _leftover(free: Shape, capacity: Shape) -> float:
-    """Return the free share of a VM's cores plus that of its memory."""
+    """Return the free share of a VM's cores plus that of its memory: 2 if it is entirely free."""
     cores = free.cores / capacity.cores if capacity.cores else 0.0
     memory = free.memory / capacity.memory if capacity.memory else 0.0
     return cores + memory
--- a/src/sablemount/jobs/systems/health.py
+++ b/src/sablemount/jobs/systems/health.py
@@ -28,15 +28,15 @@
 MIN_STALLED = 2
 """Number of a VM's runs that must have stalled, in addition to that share; all of them if it has
 fewer."""
-SPEED_WINDOW_S = 0.8
-"""Seconds over which the speed of a run is measured."""
+RATE_WINDOW_S = 0.8
+"""Seconds over which the progress rate of a run is measured."""
 SLOW_RATIO = 0.4
-"""A VM is slow if the median speed of its tasks is below this share of their own best speed.
+"""A VM is slow if the median ratio of its tasks' progress rates to their own best is below this.
 
 Expected durations are off by a factor of two and more, so they cannot tell a slow VM from a long
 task; all tasks of a VM slowing down at once can."""
 MIN_MEASURED_RUNS = 2
-"""Runs of known speed that a VM needs, since a single slow task may be slow by itself."""
+"""Runs of known progress rate that a VM needs, since a single slow task may be slow by itself."""
 MAX_MOVE_RATIO = 0.6
 """A task is moved if elsewhere it needs less than this share of its remaining time here."""
 MAX_PERCENT = 100.0
@@ -61,7 +61,7 @@
             self._evaluate(row, self._independent_runs(row))
 
     def _evaluate(self, row: VmRow, runs: list[RunRow]) -> None:
-        self._measure_speeds(row, runs)
+        self._measure_progress_rates(row, runs)
         stalled = self._stalled_runs(row, runs)
         if self._has_stalled(runs, stalled):
             self._quarantine(row, "its tasks stand still")
@@ -133,16 +133,16 @@
 
     # -- Slowness ----------------------------------------------------------------------------
 
-    def _measure_speeds(self, row: VmRow, runs: list[RunRow]) -> None:
+    def _measure_progress_rates(self, row: VmRow, runs: list[RunRow]) -> None:
         for run in runs:
-            if self._state.now - run.progress_sampled_at > SPEED_WINDOW_S:
-                self._measure_speed(run, row)
+            if self._state.now - run.progress_sampled_at > RATE_WINDOW_S:
+                self._measure_progress_rate(run, row)
 
     @staticmethod
-    def _measure_speed(run: RunRow, row: VmRow) -> None:
-        """Measure a run's speed: the share of it that is done per second."""
+    def _measure_progress_rate(run: RunRow, row: VmRow) -> None:
+        """Measure a run's progress rate: the share of it that is done per second."""
         elapsed = row.last_report_at - run.progress_sampled_at
-        if run.progress_sampled_at > 0 and elapsed > SPEED_WINDOW_S / 2:
+        if run.progress_sampled_at > 0 and elapsed > RATE_WINDOW_S / 2:
             run.progress_rate = (run.percent - run.progress_sampled_percent) / MAX_PERCENT / elapsed
             run.best_progress_rate = max(run.best_progress_rate, run.progress_rate)
         run.progress_sampled_at = row.last_report_at
--- a/src/sablemount/jobs/systems/held_back.py
+++ b/src/sablemount/jobs/systems/held_back.py
@@ -41,13 +41,13 @@
     """Determines what blocks a waiting step."""
 
     def __init__(
-        self, state: State, vms: Vms, advice: Advice, reservation: Reservation, trials: Isolation
+        self, state: State, vms: Vms, advice: Advice, reservation: Reservation, isolation: Isolation
     ) -> None:
         self._state = state
         self._vms = vms
         self._advice = advice
         self._reservation = reservation
-        self._trials = trials
+        self._isolation = isolation
 
     def count_reasons(self, step: StepRow) -> dict[str, int]:
         """Return the number of VMs in a step's pool by blocking reason."""
@@ -90,7 +90,7 @@
     def _task_reason(self, task: TaskRow, row: VmRow) -> BlockingReason:
         if row.name in task.failed_on:
             return BlockingReason.FAILED_BEFORE
-        if not self._trials.may_start(task, row):
+        if not self._isolation.may_start(task, row):
             return BlockingReason.SUSPECTS
         return (
             BlockingReason.CRASHED_BEFORE
--- a/src/sablemount/jobs/systems/pacing.py
+++ b/src/sablemount/jobs/systems/pacing.py
@@ -52,24 +52,24 @@
             return
         pressure = self._pressure(row)
         for run in best_effort_runs:
-            share = _next_speed(run.speed_percent, pressure)
-            if share != run.speed_percent:
-                self._throttle(row, run, share, pressure)
+            speed = _next_speed(run.speed_percent, pressure)
+            if speed != run.speed_percent:
+                self._throttle(row, run, speed, pressure)
 
-    def _throttle(self, row: VmRow, run: RunRow, share: int, pressure: float | None) -> None:
+    def _throttle(self, row: VmRow, run: RunRow, speed: int, pressure: float | None) -> None:
         state = self._state
         state.run_logger.info(
             "run paced",
             extra={
                 "task": run.task,
                 "vm": run.vm,
-                "percent": share,
+                "percent": speed,
                 "pressure": None if pressure is None else round(pressure, 2),
             },
         )
-        run.speed_percent = share
+        run.speed_percent = speed
         row.throttled_at = state.now
-        state.emit(ThrottleRun(run.vm, run.task, run.number, share))
+        state.emit(ThrottleRun(run.vm, run.task, run.number, speed))
 
     # -- Runs --------------------------------------------------------------------------------
 
@@ -100,7 +100,7 @@
     # -- Answers -----------------------------------------------------------------------------
 
     def failed(self, vm: str, task: str, number: int) -> None:
-        """Record that a request got no usable answer: it may or may not be in force."""
+        """Record that a throttle request got no usable answer: it may or may not be in force."""
         row = self._state.vms.get(vm)
         run = None if row is None else row.runs.get((task, number))
         if run is not None:
@@ -116,14 +116,14 @@
     return spec.lasting and spec.target_ms > 0 and not spec.fills
 
 
-def _next_speed(share: int | None, pressure: float | None) -> int:
+def _next_speed(speed: int | None, pressure: float | None) -> int:
     """Return the speed, in percent, that a best-effort run is to have under some pressure."""
     if pressure is None:
         return FULL_SPEED_PERCENT
-    known = ASSUMED_SPEED_PERCENT if share is None else share
+    known = ASSUMED_SPEED_PERCENT if speed is None else speed
     if pressure >= HIGH_PRESSURE:
         slower = known // 2
         return slower if slower >= MIN_SPEED_PERCENT else 0
-    if pressure < LOW_PRESSURE and share is not None:
+    if pressure < LOW_PRESSURE and speed is not None:
         return min(FULL_SPEED_PERCENT, known + SPEED_STEP_PERCENT)
     return known
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -1,8 +1,8 @@
 """Placement: which waiting tasks start on which VMs.
 
-Steps are placed by priority and then by when their job's objective ends. A gang is placed as a
-whole or not at all. Where advice is needed, the capacity of an assignment is booked while tickets
-are requested.
+Steps are placed by priority and then by when their job's objective ends. A gang is placed entirely
+or not at all. Where advice is needed, the capacity of an assignment is reserved while tickets are
+requested.
 """
 
 from sablemount.jobs.job_lines import log_placement
@@ -57,9 +57,9 @@
         self._advice = advice
         self._starts = starts
         self._speeds = speeds
-        self._trials = Isolation(state)
-        self._choice = Choice(state, advice, self._trials, speeds)
-        self._blocking = BlockingAnalysis(state, vms, advice, reservation, self._trials)
+        self._isolation = Isolation(state)
+        self._choice = Choice(state, advice, self._isolation, speeds)
+        self._blocking = BlockingAnalysis(state, vms, advice, reservation, self._isolation)
         self._wait_log_timer = IntervalTimer(LOG_WAIT_INTERVAL_S)
         self._last_round_at = -RETRY_INTERVAL_S
         self._max_free = Shape()
@@ -69,8 +69,8 @@
         """VMs evaluated in this round, counted as for ``MAX_VM_EVALUATIONS``."""
         self._tried: set[str] = set()
         """Steps tried in this pass over all open steps, which may take several rounds."""
-        self._pass_freed_count = -1
-        """Count of freed capacity when this pass began."""
+        self._pass_capacity_version = -1
+        """Capacity version when this pass began."""
         self._candidates_source: list[VmRow] = []
         self._candidates_by_kind: dict[tuple[str, str], list[VmRow]] = {}
 
@@ -87,10 +87,10 @@
             return
         self._last_round_at = state.now
         if not self._tried:
-            self._pass_freed_count = state.capacity_version
+            self._pass_capacity_version = state.capacity_version
         usable = self.usable_rows()
         self._max_free = _max_free_capacity(usable)
-        self._trials.begin_round(usable)
+        self._isolation.begin_round(usable)
         self._reservation.begin()
         self._caps.begin()
         before = set(self._tried)
@@ -98,7 +98,7 @@
             # A step that was tried in an earlier round and touched since is tried again.
             state.touched_steps &= before & state.open_steps.keys()
             self._tried.clear()
-            state.placed_at_capacity_version = self._pass_freed_count
+            state.placed_at_capacity_version = self._pass_capacity_version
         else:
             state.touched_steps -= self._tried - before
 
@@ -115,14 +115,16 @@
         skipped in favour of the rest.
         """
         state = self._state
-        freed = state.capacity_version
+        current_version = state.capacity_version
         self._evaluated = 0
         for step in self.steps_by_urgency():
             if not step.waiting:
                 state.open_steps.pop(step.key, None)
             elif step.key in self._tried and self._evaluated > MAX_VM_EVALUATIONS // 2:
                 continue
-            elif step.tried_at_capacity_version != freed or step.key in state.touched_steps:
+            elif (
+                step.tried_at_capacity_version != current_version or step.key in state.touched_steps
+            ):
                 if self._evaluated > MAX_VM_EVALUATIONS:
                     return False
                 self._tried.add(step.key)
@@ -151,7 +153,7 @@
     def _place(self, step: StepRow, usable: list[VmRow]) -> None:
         if step.reserved and step.advice is not None and step.advice.calls_in_flight:
             return
-        self._release_booked(step)
+        self._release_reserved(step)
         step.tried_at_capacity_version = self._state.capacity_version
         if not self.ready(step):
             self._request_unknown(step, usable)
@@ -172,7 +174,7 @@
             return
         rows = self.allowed(step, usable)
         self._evaluated += len(usable)
-        self._trials.isolate_for(step, rows)
+        self._isolation.isolate_for(step, rows)
         chosen = self._choice.assign(step, tasks, self._reservation.available_to(step, rows))
         if len(chosen) < len(tasks):
             self._max_free = _max_free_capacity(usable)
@@ -182,7 +184,7 @@
                 return
         self._start_or_request(step, chosen)
 
-    def _release_booked(self, step: StepRow) -> None:
+    def _release_reserved(self, step: StepRow) -> None:
         names = list(step.reserved)
         self._state.release_reserved(step)
         rows = (self._state.vms.get(name) for name in names)
@@ -213,11 +215,11 @@
         """Return the VMs on which a step may run, whether they have free capacity or not."""
         now = self._state.now
         priority = self._state.terms_of(step.job).priority
-        good = None if step.advice is None else step.advice.tickets
+        permitted = None if step.advice is None else step.advice.tickets
         return [
             row
             for row in self._candidates(step, usable)
-            if (good is None or row.name in good)
+            if (permitted is None or row.name in permitted)
             and not row.reserved_against(step, priority, now)
             and row.isolated_job in ("", step.job.name)
         ]
@@ -233,7 +235,7 @@
         """
         if not step.job.has_crashes:
             return True
-        return any(self._trials.may_start(task, row) for task in step.tasks if _is_waiting(task))
+        return any(self._isolation.may_start(task, row) for task in step.tasks if _is_waiting(task))
 
     def _candidates(self, step: StepRow, usable: list[VmRow]) -> list[VmRow]:
         """Return the usable VMs of a step's pool and label, computed once a round."""
@@ -357,17 +359,17 @@
             return
         stale = {row.name for _, row in chosen if not self._advice.permits(step, row)}
         if stale and step.spec.gang:
-            self._book(step, chosen)
+            self._reserve(step, chosen)
             self._advice.request(step, sorted({row.name for _, row in chosen}))
             return
-        good = [pair for pair in chosen if pair[1].name not in stale]
-        self._start(step, good)
+        permitted = [pair for pair in chosen if pair[1].name not in stale]
+        self._start(step, permitted)
         if stale:
-            self._book(step, [pair for pair in chosen if pair[1].name in stale])
+            self._reserve(step, [pair for pair in chosen if pair[1].name in stale])
             self._advice.request(step, sorted(stale))
 
-    def _book(self, step: StepRow, chosen: Assignment) -> None:
-        """Book the capacity of an assignment until its tickets have arrived."""
+    def _reserve(self, step: StepRow, chosen: Assignment) -> None:
+        """Reserve the capacity of an assignment until its tickets have arrived."""
         for _, row in chosen:
             step.reserved[row.name] = step.reserved.get(row.name, 0) + 1
             row.free_capacity = row.free_capacity.plus(step.spec.charge, -1)
--- a/src/sablemount/jobs/systems/trials.py
+++ b/src/sablemount/jobs/systems/trials.py
@@ -37,7 +37,7 @@
         self._max_isolated = 1
 
     def begin_round(self, usable: list[VmRow]) -> None:
-        """Begin a placement round: isolate VMs of running tasks, and end outdated isolations."""
+        """Begin a placement round: isolate VMs of running tasks, and release those not needed."""
         state = self._state
         if not state.suspected_jobs and not self._isolated_since:
             return
@@ -93,21 +93,24 @@
             return
         wanted = waiting if step.spec.gang else 1
         job = step.job.name
-        available = sum(self._capacity_for(step, row) for row in rows if row.isolated_job == job)
+        places = sum(self._places_for(step, row) for row in rows if row.isolated_job == job)
         candidates = [row for row in rows if not row.isolated_job and self._can_isolate(step, row)]
         candidates.sort(key=lambda row: self._preference(step, row))
         for row in candidates:
-            if available >= wanted or len(self._isolated_since) >= self._max_isolated:
+            if places >= wanted or len(self._isolated_since) >= self._max_isolated:
                 return
             self._isolate(row, job)
-            available += max(1, self._capacity_for(step, row))
+            places += max(1, self._places_for(step, row))
 
     def _preference(self, step: StepRow, row: VmRow) -> tuple[bool, bool, int, int]:
-        """Return a sort key: VMs that have just restarted come late, as they may do so again."""
+        """Return a sort key: VMs with a free place come first, then those with the fewest runs.
+
+        A VM that has just restarted comes later although it is empty, since it may crash again.
+        """
         restarted = self._state.now - row.follows_crash_at < RECENT_RESTART_S
         may_crash_again = restarted or any(task.crashed_before(row) for task in step.tasks)
         return (
-            not self._capacity_for(step, row),
+            not self._places_for(step, row),
             may_crash_again,
             len(row.runs),
             -row.free_capacity.cores,
@@ -125,7 +128,7 @@
         return fits and not any(self._is_suspected(run, step.job.name) for run in row.runs.values())
 
     @staticmethod
-    def _capacity_for(step: StepRow, row: VmRow) -> int:
+    def _places_for(step: StepRow, row: VmRow) -> int:
         found = step.spec.charge.copies_in(row.free_capacity)
         return min(found, step.spec.spread) if step.spec.spread else found
 
