--- a/src/sablemount/jobs/systems/advice.py
+++ b/src/sablemount/jobs/systems/advice.py
@@ -297,11 +297,12 @@
             self._try_send(step, tuple(step.advice.tickets))
 
     def _needs_renewal(self, step: StepRow) -> bool:
-        """Return whether a step waits for capacity and its tickets are about to expire."""
+        """Return whether a step waits and a ticket of it expires before new ones could arrive."""
         row = step.advice
         if row is None or not step.waiting or row.calls_in_flight or row.failures:
             return False
-        # The expired ticket of a terminated VM would cause all others to be renewed repeatedly.
+        # The ticket of a terminated VM is never renewed; once it has expired, it would cause all
+        # others to be renewed again and again.
         for vm in [vm for vm in row.tickets if vm not in self._state.vms]:
             del row.tickets[vm]
         if not row.tickets:
@@ -309,8 +310,8 @@
         cost = self.cost(step, len(row.tickets))
         if cost < SLOW_RENEWAL_S or not step.job.durable:
             return False
-        last = min(ticket.until for ticket in row.tickets.values())
-        return last - TICKET_MARGIN_S < self._state.now + cost + RENEW_MARGIN_S
+        first_expiry = min(ticket.until for ticket in row.tickets.values())
+        return first_expiry - TICKET_MARGIN_S < self._state.now + cost + RENEW_MARGIN_S
 
     def _free_slots(self) -> list[str]:
         now = self._state.now
--- a/src/sablemount/jobs/systems/crashes.py
+++ b/src/sablemount/jobs/systems/crashes.py
@@ -32,6 +32,7 @@
 """Share of the VMs above which their silence is not recorded: with more of them silent at once, the
 leader itself was paused or cut off."""
 MIN_SILENT_LIMIT = 2
+"""Number of silent VMs up to which their silence is recorded whatever their share."""
 JUDGE_INTERVAL_S = 0.3
 """Seconds between checks whether more is known about crashes."""
 MAX_ISOLATED_CRASHES = 3
--- a/src/sablemount/jobs/systems/evidence.py
+++ b/src/sablemount/jobs/systems/evidence.py
@@ -88,16 +88,21 @@
             if other.entry == row.info.entry_key:
                 # Its weight may change with a further crash of the same VM.
                 other.is_final = False
-        began = (
+        earliest_at = (
             row.last_report_at
             if row.last_report_at > 0
             else self._state.elected_at - CRASH_WINDOW_BEFORE_ELECTION_S
         )
-        ended = min(now, began + CRASH_WINDOW_S) if row.last_report_at > 0 else now
+        latest_at = min(now, earliest_at + CRASH_WINDOW_S) if row.last_report_at > 0 else now
         if row.connections_refused_since > row.last_report_at:
-            ended = min(ended, row.connections_refused_since)
+            latest_at = min(latest_at, row.connections_refused_since)
         self._crashes[row.name] = Crash(
-            row.name, row.info.entry_key, began, max(began, ended), now, isolated_job
+            row.name,
+            row.info.entry_key,
+            earliest_at,
+            max(earliest_at, latest_at),
+            now,
+            isolated_job,
         )
 
     def attribute(self, vm: str, task: TaskRow) -> None:
@@ -184,7 +189,7 @@
         concurrent: set[str],
         entries_by_job: dict[str, set[str]],
     ) -> dict[str, float]:
-        """Return the weight of a crash for each job, given which VMs were up, gone or crashed."""
+        """Return the weight of a crash for each job, given the VMs up, terminated and crashed."""
         idle_crashes = self._idle_crashes(crash)
         attribution = self._attribution(crash)
         total = len(up | concurrent) + 1
@@ -206,7 +211,7 @@
         return sum(1 for other in others if not other.tasks)
 
     def _attribution(self, crash: Crash) -> dict[str, float]:
-        """Return the probability of each job on a VM that it caused the crash."""
+        """Return, for each job that ran on the VM, the probability that it caused the crash."""
         attribution = dict.fromkeys(crash.tasks.values(), 0.0)
         for key, job in crash.tasks.items():
             task = self._state.task(key)
--- a/src/sablemount/jobs/systems/lifecycle.py
+++ b/src/sablemount/jobs/systems/lifecycle.py
@@ -238,8 +238,8 @@
 
     def remove_old(self) -> list[JobRow]:
         """Remove the ended jobs whose state no longer has to be available, and return them."""
-        kept_ms = self._state.settings.state_retention_s * MS_PER_S * RETENTION_FACTOR
-        cutoff = self._state.wall_ms - kept_ms
+        retention_ms = self._state.settings.state_retention_s * MS_PER_S * RETENTION_FACTOR
+        cutoff = self._state.wall_ms - retention_ms
         old = [
             job
             for job in self._state.jobs.values()
--- a/src/sablemount/jobs/systems/preemption.py
+++ b/src/sablemount/jobs/systems/preemption.py
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class _Offer:
-    """Slots of one VM: those that are free, or more that stopping ``victims`` frees."""
+    """Places for tasks on one VM: the free ones, or more that stopping ``victims`` frees."""
 
     row: VmRow
     slots: int
@@ -194,7 +194,7 @@
             gained = charge.copies_in(capacity) - slots
             if gained > 0:
                 capacity = _drop_needless(capacity, charge, slots + gained, victims)
-                max_loss = max(max_loss, sum(cost for cost, _ in victims))
+                max_loss = max(max_loss, sum(loss for loss, _ in victims))
                 offers.append(_Offer(row, gained, [run for _, run in victims], max_loss))
                 slots += gained
                 victims = []
--- a/src/sablemount/jobs/systems/proofs.py
+++ b/src/sablemount/jobs/systems/proofs.py
@@ -20,7 +20,7 @@
 """Time from a probe to the next one on the same VM, doubled with each further probe."""
 MAX_DELAY_S = 5.0
 MAX_VMS_PER_ROUND = 64
-"""VMs for which a task is sought per round, each among all waiting steps."""
+"""VMs for which a task is searched for per round, each among all waiting steps."""
 
 
 class Probes:
--- a/src/sablemount/jobs/systems/reconcile.py
+++ b/src/sablemount/jobs/systems/reconcile.py
@@ -358,7 +358,7 @@
     def find_partial_gangs(self) -> None:
         """Find gangs of which a previous leader has started only some members.
 
-        Once every run of a previous leader has been seen, the missing members will not arrive;
+        Once all runs of previous leaders are known or over, the missing members will not arrive;
         those that run would wait for them until they end alone.
         """
         if not self._state.previous_runs_settled:
--- a/src/sablemount/jobs/systems/speeds.py
+++ b/src/sablemount/jobs/systems/speeds.py
@@ -6,7 +6,7 @@
 with those of the step's other tasks. Callers' estimates, which are off by a factor of two, only
 matter where a step has no other completed task.
 
-All figures are logarithms: a speed of 0 is the usual one, and a duration is
+All values are logarithms: a speed of 0 is the usual one, and a duration is
 ``expected + bias - speed``.
 """
 
@@ -30,10 +30,10 @@
 """Upper bound of the weight of earlier samples, so that the estimate follows a VM that turns
 slow."""
 HALF_LIFE_S = 15.0
-"""Time after which an estimate counts half: a disturbance of a VM commonly lasts for some
+"""Time after which a speed estimate counts half: a disturbance of a VM commonly lasts for some
 seconds."""
 TRUSTED_WEIGHT = 4.0
-"""Weight from which an estimate is used."""
+"""Weight from which a speed estimate is used."""
 RESTORED_WEIGHT = 5.0
 """Weight of a speed that a previous leader has learned: it is used, and soon corrected."""
 MIN_RECORDED_CHANGE = 0.3
@@ -103,15 +103,15 @@
         self._state = state
         self._write_record = write_record
         self._estimates: dict[str, _Estimate] = {}
-        """By machine, whose speed outlasts its incarnations, or by VM where the machine is
-        unknown."""
+        """Speed estimates by machine, whose speed outlasts its incarnations, or by VM where the
+        machine is unknown."""
         self._trusted: dict[str, float] = {}
         """The speeds of trusted estimates, so that a choice among many VMs need not compute
         weights."""
         self._bias: dict[str, float] = {}
         """How much longer a queue's tasks take than their callers estimate, at the usual speed."""
         self._durations: dict[str, _StepDurations] = {}
-        """By step, while it has open tasks."""
+        """Durations by step, while the step has open tasks."""
         self._timer = IntervalTimer(INTERVAL_S)
         self.ratio = 1.0
         """How much faster the fast VMs are than the slow ones."""
--- a/src/sablemount/jobs/systems/starts.py
+++ b/src/sablemount/jobs/systems/starts.py
@@ -34,7 +34,8 @@
 """Seconds for which the start request of a probe is valid: it takes effect at once or is repeated
 later."""
 SILENT_PAUSE_S = 0.5
-"""Seconds without new work for a VM that did not report: its regular poll tells more by then."""
+"""Seconds without new work for a VM that did not report: by then its regular poll shows its
+state."""
 
 
 class _Start(msgspec.Struct, frozen=True):
--- a/src/sablemount/jobs/systems/vms.py
+++ b/src/sablemount/jobs/systems/vms.py
@@ -19,7 +19,8 @@
 RELIST_TIMEOUT_S = 2.5
 """Seconds within which an entry that lapsed during a store outage returns, if its VM is up.
 
-The platform states about two; a VM that is still missing after this counts as terminated."""
+The platform states about two; a VM whose entry is still missing after this counts as lost and gets
+no new work."""
 LEFT_AFTER_S = 1.5
 """Seconds after which a VM without an entry, at whose address nothing listens, has left."""
 LEFT_AS_ANNOUNCED_AFTER_S = 0.3
@@ -87,10 +88,11 @@
         info = msgspec.structs.replace(info, leaves_in=0.0, revision=0)
         row = self._state.vms.get(info.name)
         if row is None and self._incarnations.is_superseded(info):
-            # An outdated list must not give the current incarnation's capacity to the previous one.
+            # An outdated list would replace the current incarnation, and its capacity, by the
+            # previous one.
             return None
         if row is not None and revision < row.revision:
-            # An outdated list must not give back the capacity that a VM has lost since.
+            # An outdated list would give back the capacity that a VM has lost since.
             return None
         if row is not None:
             if revision > row.revision:
@@ -132,15 +134,18 @@
 
     def usable(self, row: VmRow) -> bool:
         """Return whether a VM may get new work at all."""
-        return not row.completions_unreliable and self._is_healthy(row)
+        return not row.completions_unreliable and self._accepts_starts(row)
 
     def can_probe(self, row: VmRow) -> bool:
         """Return whether a probe may be started on a VM to show if it lists completions."""
         return (
-            row.completions_unreliable and row.unverified and not row.runs and self._is_healthy(row)
+            row.completions_unreliable
+            and row.unverified
+            and not row.runs
+            and self._accepts_starts(row)
         )
 
-    def _is_healthy(self, row: VmRow) -> bool:
+    def _accepts_starts(self, row: VmRow) -> bool:
         return (
             row.in_use
             and self.is_capacity_known(row)
@@ -422,12 +427,15 @@
 
     @staticmethod
     def _ended_as_planned(row: VmRow) -> bool:
-        """Return whether a VM ended as planned: it drained, or reported when its entry was gone."""
+        """Return whether a VM ended as planned: it drained, or outlived its entry.
+
+        A VM has outlived its entry if it reported after the entry was found missing.
+        """
         unlisted_at = row.unlisted_at
         return row.info.draining or (unlisted_at is not None and row.last_report_at > unlisted_at)
 
     def _has_successor(self, row: VmRow) -> bool:
-        """Return whether a silent VM's machine has another VM, so that it was not just cut off."""
+        """Return whether a silent VM's machine has another incarnation: it was not just cut off."""
         machine = row.info.machine
         if row.terminated or not machine or self._ended_as_planned(row):
             return False
@@ -494,12 +502,12 @@
         state.unreported_leases_end = max(state.unreported_leases_end, leases_end_at)
 
     def all_reported(self) -> bool:
-        """Return whether every run of a previous leader has been seen."""
+        """Return whether all runs of previous leaders are known or over."""
         state = self._state
         if state.leadership_confirmed_at > state.unreported_leases_end:
             return True
-        loaded = [row for row in state.vms.values() if row.earlier_runs_possible]
-        return all(row.first_report_at > 0 or row.terminated for row in loaded)
+        rows = [row for row in state.vms.values() if row.earlier_runs_possible]
+        return all(row.first_report_at > 0 or row.terminated for row in rows)
 
 
 def _earliest(first: float | None, second: float | None) -> float | None:
