--- a/src/sablemount/jobs/model.py
+++ b/src/sablemount/jobs/model.py
@@ -94,11 +94,16 @@
     """Largest number of tasks of the step on one VM; 0 for any number."""
     speculative: bool = False
     lasting: bool = False
+    """Whether its tasks run until the job is cancelled."""
     saves: bool = False
+    """Whether a stopped task saves its state, from which its next run resumes."""
     image: str = ""
     target_ms: float = 0.0
+    """Target of the tail latency of a long-running task; 0 if it has none."""
     fills: bool = False
+    """Whether its tasks are best-effort: charged no cores, and throttled where necessary."""
     may_miss: int = 0
+    """Largest number of tasks that may be away from work at once by a stop; 0 for no limit."""
 
     @property
     def charge(self) -> Shape:
@@ -134,7 +139,10 @@
 
 
 class AdviceTerms(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Cost of a call for advice and validity of its tickets, in milliseconds."""
+    """Expected time of a call for advice and validity of its tickets, in milliseconds.
+
+    A call takes ``decide_ms``, and ``each_ms`` more for each VM that it names.
+    """
 
     decide_ms: float = 0.0
     each_ms: float = 0.0
--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -90,7 +90,7 @@
     TICKET = "ticket"
     """The ticket is missing or not valid."""
     UNHEALTHY = "unhealthy"
-    """The VM is unhealthy."""
+    """The VM answered that it is unhealthy."""
     REJECTED = "rejected"
     """Any other refusal."""
 
--- a/src/sablemount/jobs/state.py
+++ b/src/sablemount/jobs/state.py
@@ -63,7 +63,7 @@
         self.open_jobs: dict[str, JobRow] = {}
         """Jobs that have not ended."""
         self.open_steps: dict[str, StepRow] = {}
-        """Steps that are ready and have waiting tasks, by key."""
+        """Steps with waiting tasks whose predecessors are done, by key."""
         self.vms: dict[str, VmRow] = {}
         self.entries_read_at: float | None = None
         """Time up to which the VMs' entries were read; ``None`` where that is not tracked."""
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -410,7 +410,7 @@
     """No new work before this time, because the VM refused a start or its tasks fail or make no
     progress."""
     failed_jobs: set[str] = field(default_factory=set)
-    """Jobs of which a task has failed there since a task of theirs last succeeded there."""
+    """Jobs of which a task has failed there since any task last succeeded there."""
     reserved_priority: int = 0
     """Priority for which its capacity is reserved."""
     reserved_for: str = ""
