--- a/src/sablemount/jobs/systems/preemption.py
+++ b/src/sablemount/jobs/systems/preemption.py
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class _Offer:
-    """Places for tasks on one VM: the free ones, or more that stopping ``victims`` frees."""
+    """Slots for tasks on one VM: the free ones, or more that stopping ``victims`` frees."""
 
     row: VmRow
     slots: int
--- a/src/sablemount/jobs/systems/starts.py
+++ b/src/sablemount/jobs/systems/starts.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class _PendingStart:
+class _StartGroup:
     """Starts of a step that are requested together or not at all."""
 
     step: StepRow
@@ -83,7 +83,7 @@
         self._journal = journal
         self._vms = vms
         self._advice = advice
-        self._pending: list[_PendingStart] = []
+        self._pending: list[_StartGroup] = []
         self.on_recorded: Callable[[float], None] = _ignore
         """Called with the seconds for which a start request has waited for the store."""
 
@@ -114,7 +114,7 @@
         if record_first:
             self._journal.record_runs([start.run for start in starts])
             suspected = any(task.crashes for task in tasks)
-            self._pending.append(_PendingStart(step, starts, self._state.now, suspected))
+            self._pending.append(_StartGroup(step, starts, self._state.now, suspected))
         else:
             self._request(step, starts)
 
@@ -136,7 +136,7 @@
             else:
                 self._abandon(group)
 
-    def _must_wait(self, group: _PendingStart) -> bool:
+    def _must_wait(self, group: _StartGroup) -> bool:
         """Return whether a start request still waits for the store or for a VM's report."""
         if not group.is_recorded:
             return self._state.store_answers
@@ -148,14 +148,14 @@
                 self._state.emit(PollVm(name))
         return self._state.now - group.polled_at < REPORT_TIMEOUT_S
 
-    def _may_be_requested(self, group: _PendingStart) -> bool:
+    def _may_be_requested(self, group: _StartGroup) -> bool:
         """Return whether the VMs may still get what was chosen for them."""
         if group.suspected and not group.has_reported():
             self._avoid_silent(group)
             return False
         return all(self._may_start(group.step, start) for start in group.starts)
 
-    def _avoid_silent(self, group: _PendingStart) -> None:
+    def _avoid_silent(self, group: _StartGroup) -> None:
         until = self._state.now + SILENT_PAUSE_S
         for start in group.starts:
             if group.polled_at is not None and start.row.last_report_at < group.polled_at:
@@ -173,7 +173,7 @@
             and self._advice.permits(step, row)
         )
 
-    def _abandon(self, group: _PendingStart) -> None:
+    def _abandon(self, group: _StartGroup) -> None:
         """Return tasks to waiting, since their start was not requested."""
         extra = {
             "step": group.step.key,
