--- a/src/sablemount/jobs/model.py
+++ b/src/sablemount/jobs/model.py
@@ -172,7 +172,7 @@
 
 
 class Organisation(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An owner of jobs: how its callers are recognised, and how much it may run."""
+    """Owner and payer of jobs: how its callers are recognised, and how much it may run."""
 
     name: str
     key_digests: tuple[bytes, ...] = ()
--- a/src/sablemount/jobs/systems/acks.py
+++ b/src/sablemount/jobs/systems/acks.py
@@ -31,7 +31,7 @@
         self._state = state
 
     def pending(self, row: VmRow) -> bool:
-        """Return whether the store has completions that the VM has not been told to forget."""
+        """Return whether the store has completions that are not acknowledged to the VM yet."""
         if row.last_recorded_completion <= row.last_acknowledged_completion:
             row.unacknowledged_since = None
             return False
--- a/src/sablemount/jobs/systems/crashes.py
+++ b/src/sablemount/jobs/systems/crashes.py
@@ -53,12 +53,12 @@
     """Records the unplanned ends of VMs, and fails the jobs whose tasks cause them."""
 
     def __init__(
-        self, state: State, lifecycle: Lifecycle, record_runs: Callable[[VmRow], None]
+        self, state: State, lifecycle: Lifecycle, update_vm_record: Callable[[VmRow], None]
     ) -> None:
         self._state = state
         self._lifecycle = lifecycle
-        self._record_runs = record_runs
-        """Records the runs of a VM that would otherwise be forgotten with it."""
+        self._update_vm_record = update_vm_record
+        """Updates a VM's record of the tasks that its crash would be attributed to."""
         self._check_interval = IntervalTimer(CHECK_INTERVAL_S)
         self._judge_interval = IntervalTimer(JUDGE_INTERVAL_S)
         self._evidence = Evidence(state)
@@ -204,7 +204,7 @@
         for row in silent:
             if row.uncertainty_recorded_at < row.last_report_at:
                 row.uncertainty_recorded_at = self._state.now
-                self._record_runs(row)
+                self._update_vm_record(row)
 
     def _is_silent(self, row: VmRow) -> bool:
         if row.terminated or not row.runs or row.first_report_at < 0:
--- a/src/sablemount/jobs/systems/proofs.py
+++ b/src/sablemount/jobs/systems/proofs.py
@@ -17,8 +17,10 @@
 __all__ = ["Probes"]
 
 FIRST_DELAY_S = 0.1
-"""Time from a probe to the next one on the same VM, doubled with each further probe."""
+"""Time until the next attempt on a VM for which no task was found, doubled for each probe that was
+started there."""
 MAX_DELAY_S = 5.0
+"""Longest time from a probe to the next one on the same VM."""
 MAX_VMS_PER_ROUND = 64
 """VMs for which a task is searched for per round, each among all waiting steps."""
 
--- a/src/sablemount/jobs/systems/speeds.py
+++ b/src/sablemount/jobs/systems/speeds.py
@@ -96,12 +96,12 @@
 class Speeds:
     """Estimates the speeds of VMs and judges which VMs are fast enough for a step.
 
-    ``write_record`` has a VM's record written again.
+    ``update_vm_record`` has a VM's record written again.
     """
 
-    def __init__(self, state: State, write_record: Callable[[VmRow], None]) -> None:
+    def __init__(self, state: State, update_vm_record: Callable[[VmRow], None]) -> None:
         self._state = state
-        self._write_record = write_record
+        self._update_vm_record = update_vm_record
         self._estimates: dict[str, _Estimate] = {}
         """Speed estimates by machine, whose speed outlasts its incarnations, or by VM where the
         machine is unknown."""
@@ -206,7 +206,7 @@
             min_change = MIN_RECORDED_CHANGE if row.recorded_speed else MIN_FIRST_RECORDED
             if abs(speed - row.recorded_speed) > min_change:
                 row.recorded_speed = round(speed, 2)
-                self._write_record(row)
+                self._update_vm_record(row)
 
     def restore(self, row: VmRow) -> None:
         """Adopt the speed in a VM's record until it is learned again.
--- a/src/sablemount/jobs/systems/trials.py
+++ b/src/sablemount/jobs/systems/trials.py
@@ -117,9 +117,9 @@
         )
 
     def _waits_for_isolation(self, task: TaskRow) -> bool:
-        return task.needs_isolation and self._is_waiting(task)
+        return task.needs_isolation and self._may_wait(task)
 
-    def _is_waiting(self, task: TaskRow) -> bool:
+    def _may_wait(self, task: TaskRow) -> bool:
         since = max(task.step.requeued_at, self._state.previous_runs_settled_at)
         return task.state is TaskState.WAITING and self._state.now - since < ISOLATION_WAIT_S
 
@@ -157,7 +157,7 @@
         unaffected = [row for row in found if not task.crashed_before(row)]
         if unaffected:
             return unaffected
-        must_wait = self._is_waiting(task) and any(not task.crashed_before(row) for row in rows)
+        must_wait = self._may_wait(task) and any(not task.crashed_before(row) for row in rows)
         return [] if must_wait else found
 
     def _is_suspected(self, run: RunRow, job: str) -> bool:
