--- a/src/sablemount/jobs/systems/held_back.py
+++ b/src/sablemount/jobs/systems/held_back.py
@@ -25,13 +25,17 @@
     UNVERIFIED = "to show that it lists ends"
     UNUSABLE = "unusable"
     ISOLATED = "on trial"
+    """The VM is isolated for another job."""
     RESERVED_FOR_STEP = "kept"
+    """Preemption has reserved the VM for another step or for more urgent work."""
     NO_ADVICE = "no advice yet"
     NOT_ALLOWED = "not allowed"
     FULL = "full"
     RESERVED_FOR_GANG = "reserved"
+    """The VM is reserved for a more urgent gang that waits for capacity."""
     FAILED_BEFORE = "failed there"
     SUSPECTS = "suspects"
+    """VMs have crashed under the task, and it may not run beside what runs there."""
     CRASHED_BEFORE = "crashed before"
     NOT_BLOCKED = "open"
     """Nothing blocks the step."""
@@ -41,13 +45,13 @@
     """Determines what blocks a waiting step."""
 
     def __init__(
-        self, state: State, vms: Vms, advice: Advice, reservation: Reservation, trials: Isolation
+        self, state: State, vms: Vms, advice: Advice, reservation: Reservation, isolation: Isolation
     ) -> None:
         self._state = state
         self._vms = vms
         self._advice = advice
         self._reservation = reservation
-        self._trials = trials
+        self._isolation = isolation
 
     def count_reasons(self, step: StepRow) -> dict[str, int]:
         """Return the number of VMs in a step's pool by blocking reason."""
@@ -90,7 +94,7 @@
     def _task_reason(self, task: TaskRow, row: VmRow) -> BlockingReason:
         if row.name in task.failed_on:
             return BlockingReason.FAILED_BEFORE
-        if not self._trials.may_start(task, row):
+        if not self._isolation.may_start(task, row):
             return BlockingReason.SUSPECTS
         return (
             BlockingReason.CRASHED_BEFORE
