--- a/src/sablemount/core/events.py
+++ b/src/sablemount/core/events.py
@@ -47,7 +47,8 @@
 class LogRead(_Event, frozen=True):
     """A read of the log, sent at ``sent_at``, has returned.
 
-    ``first`` and ``head`` are the oldest and the newest offset of the log at the time of the read.
+    ``first`` is the oldest offset that the log retained at the time of the read, and ``head`` the
+    newest one.
     """
 
     sent_at: float
--- a/src/sablemount/core/ledger.py
+++ b/src/sablemount/core/ledger.py
@@ -26,8 +26,8 @@
 """
 KEY_CLOCK_SKEW_S = 300.0
 """Maximum difference between a caller's clock and the log's."""
-FINISHED_HORIZON = 86_400.0
-"""Time for which the outcome of a finished task can be read."""
+FINISHED_RETENTION_S = 86_400.0
+"""Time for which the outcome of a finished task can be read, counted from its record."""
 
 OK = ""
 
@@ -110,7 +110,7 @@
             if self.spent_keys[key] >= oldest_spent:
                 break
             del self.spent_keys[key]
-        oldest_finished = self.log_time - FINISHED_HORIZON
+        oldest_finished = self.log_time - FINISHED_RETENTION_S
         while self.finished and self.finished[0][0] < oldest_finished:
             _, task = self.finished.popleft()
             self.tasks.pop(task, None)
--- a/src/sablemount/core/systems/inventory.py
+++ b/src/sablemount/core/systems/inventory.py
@@ -1,8 +1,8 @@
 """Inventory: the VM list, enrolment of VMs in the log, and draining.
 
 The VM list is eventually consistent. An owner therefore enrols a VM in the log before its first
-use, and dismisses it once no run of its shard can still be on it. A new owner of the shard thus
-knows every VM that it has to poll before it may conclude that a task runs nowhere.
+use, and dismisses it once no work of the schedulers can be on it any more. A new owner of the shard
+thus knows every VM that it has to poll before it may conclude that a task runs nowhere.
 """
 
 from sablemount.core import records
--- a/src/sablemount/core/systems/journal.py
+++ b/src/sablemount/core/systems/journal.py
@@ -172,7 +172,7 @@
 
     @property
     def healthy(self) -> bool:
-        """Return whether the log has answered a read recently."""
+        """Return whether a recent read has reached the end of the log."""
         age = self._state.now - self._state.last_caught_up_at
         return age < 2 * self._state.settings.read_interval + self._state.settings.read_timeout
 
--- a/src/sablemount/core/systems/limits.py
+++ b/src/sablemount/core/systems/limits.py
@@ -78,7 +78,7 @@
 
 
 class Ejection:
-    """Ejects VMs that fail requests for a while, up to a share of all VMs."""
+    """Ejects failing VMs for ``eject_seconds``, up to ``eject_share`` of the held shards' VMs."""
 
     def __init__(self, state: State) -> None:
         self._state = state
--- a/src/sablemount/core/systems/preemption.py
+++ b/src/sablemount/core/systems/preemption.py
@@ -33,7 +33,7 @@
 RESTORE_INTERVAL_S = 5.0
 """Time between two checks for throttled runs that can be restored."""
 CHECKPOINT_COST = 0.2
-"""Cost of a checkpoint, as a share of the cost of a stop."""
+"""Work that a checkpoint loses, as a share of what a stop loses."""
 THROTTLE_COST = 0.1
 """Cost of a throttle, as a share of the cost of a stop."""
 PREEMPTION_WINDOW_S = 60.0
@@ -45,7 +45,7 @@
 }
 """Share of the work done so far that each kind of preemption loses."""
 CLASS_COST_CORE_S = 100.0
-"""Cost added for each priority class that a victim ranks higher."""
+"""Cost that is added per rank of a victim's priority class, counted up from the lowest class."""
 
 
 class _Victim(msgspec.Struct, frozen=True):
@@ -119,7 +119,10 @@
             self._preempt_for(item)
 
     def _preempting_items(self) -> list[WaitingTask]:
-        """Return the tasks that may preempt in this tick, those of the highest priority first."""
+        """Return the tasks that may preempt, of those that this tick's placement has left waiting.
+
+        Tasks of the highest level come first.
+        """
         due: list[WaitingTask] = []
         queue = self._placement.queue
         for level in range(LEVEL_COUNT):
--- a/src/sablemount/core/waiting.py
+++ b/src/sablemount/core/waiting.py
@@ -12,7 +12,7 @@
 
 LEVEL_COUNT = len(PRIORITY_RANK)
 FIRST_MOVE_DELAY_S = 0.5
-"""Time that a task waits in its first shard before it may be moved to another one."""
+"""Time after which a newly queued task may be moved to another shard."""
 
 
 class Group(NamedTuple):
@@ -26,9 +26,9 @@
     """A task that waits for a VM.
 
     ``priority_rank`` is the rank of the template's priority class, and 0 is the highest. ``level``
-    starts at that rank and falls as the task ages. ``never_started`` is set if the task has
-    certainly not been started. ``spread_move_done`` is set once a move of the task to a shard for
-    its spread preference has been considered.
+    starts at that rank and decreases as the task ages, so that it is served earlier.
+    ``never_started`` is set if the task has certainly not been started. ``spread_move_done`` is set
+    once a move of the task to a shard for its spread preference has been considered.
     """
 
     __slots__ = (
@@ -161,7 +161,7 @@
         return [item for item, _ in zip(queue.values(), range(count), strict=False)]
 
     def promote(self, now: float, aging: float) -> None:
-        """Raise the first task of each group by a level after ``aging`` seconds at its level."""
+        """Promote the first task of each group by a level after ``aging`` seconds at its level."""
         for level in range(1, LEVEL_COUNT):
             for group in list(self._levels[level]):
                 for item in self.head(level, group, 1):
