--- a/src/sablemount/core/documents.py
+++ b/src/sablemount/core/documents.py
@@ -104,7 +104,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Service-level objective: the fraction ``target`` of the work starts ``within`` seconds."""
+    """Service-level objective: a fraction ``target`` of the work starts in ``within`` seconds."""
 
     target: Annotated[float, Meta(gt=0, lt=1)] = 0.99
     within: Annotated[float, Meta(gt=0)] = 1.0
--- a/src/sablemount/core/index.py
+++ b/src/sablemount/core/index.py
@@ -80,7 +80,7 @@
         return found
 
     def emptiest(self, shape: Shape, halls: list[str], limit: int) -> list[VmRow]:
-        """Return VMs that can fit a shape, up to ``limit`` of each hall's emptiest bucket."""
+        """Return VMs that can fit a shape, of up to ``limit`` per hall with the most free cores."""
         found: list[VmRow] = []
         for pools in (
             (self._with_accelerators,)
@@ -129,7 +129,7 @@
 
 
 def _sample(bucket: list[VmRow], count: int, rng: random.Random) -> Iterator[VmRow]:
-    """Yield up to ``count`` neighbouring rows from a random position of a bucket on."""
+    """Yield up to ``count`` neighbouring rows of a bucket, starting at a random position."""
     size = len(bucket)
     if size <= count:
         yield from bucket
--- a/src/sablemount/core/systems/inventory.py
+++ b/src/sablemount/core/systems/inventory.py
@@ -172,7 +172,7 @@
                 state.emit(SendPeer(name, DrainNotice(state.writer, vm, drain)))
 
     def received(self, notice: DrainNotice) -> None:
-        """Apply a drain of which a peer has sent notice."""
+        """Apply the drain, or the end of a drain, that a peer has sent notice of."""
         self._set_drain_notice(notice.vm, notice.drain)
 
     def _set_drain_notice(self, vm: str, drain: bool) -> None:
--- a/src/sablemount/core/systems/journal.py
+++ b/src/sablemount/core/systems/journal.py
@@ -302,7 +302,7 @@
             self._bootstrap(event)
         else:
             for entry in event.entries:
-                self._fold(entry)
+                self._apply(entry)
         self._update_head(event)
 
     def _update_head(self, event: LogRead) -> None:
@@ -312,7 +312,7 @@
         self._state.last_caught_up_at = max(self._state.last_caught_up_at, event.sent_at)
         self._state.ready = True
 
-    def _fold(self, entry: LogEntry) -> None:
+    def _apply(self, entry: LogEntry) -> None:
         for applied in self._state.ledger.apply(entry):
             if applied.writer == self._state.writer:
                 self._settle_own(applied)
@@ -366,7 +366,7 @@
         self._assembler = SnapshotAssembler()
         self._bootstrapping = False
         for entry in buffered:
-            self._fold(entry)
+            self._apply(entry)
 
     def adopt(self, image: LedgerImage) -> bool:
         """Install a peer's ledger if its offset is higher; return whether it was installed."""
--- a/src/sablemount/core/systems/membership.py
+++ b/src/sablemount/core/systems/membership.py
@@ -55,7 +55,7 @@
 
     def _applied(self, applied: AppliedRecord) -> None:
         body = applied.record.body
-        self._heard_in_log(applied.writer)
+        self._count_log_heartbeat(applied.writer)
         if not applied.accepted:
             return
         if isinstance(body, records.Join) and applied.writer == self._state.writer:
@@ -64,7 +64,7 @@
         elif isinstance(body, records.Evict) and body.member == self._state.writer:
             self._evicted()
 
-    def _heard_in_log(self, writer: Writer) -> None:
+    def _count_log_heartbeat(self, writer: Writer) -> None:
         """Count a record as a heartbeat: its writer may be cut off from its peers only."""
         peer = self._state.peers.get(writer.name)
         if peer is not None and peer.incarnation == writer.incarnation:
--- a/src/sablemount/core/systems/ownership.py
+++ b/src/sablemount/core/systems/ownership.py
@@ -95,10 +95,10 @@
         delay = 0.0 if planned else settings.claim_delay * drift_factor + settings.settle
         active_at = since + delay
         # The previous owner may renew runs until its lease and the grace period have ended.
-        longest_lease_s = settings.claim_delay + settings.renew_grace + settings.run_lease
-        lapse_at = since + longest_lease_s * drift_factor + settings.settle
+        expiry_delay = settings.claim_delay + settings.renew_grace + settings.run_lease
+        leases_expire_at = since + expiry_delay * drift_factor + settings.settle
         self._drop(shard)
-        state.held_shards[shard] = HeldShard(shard, epoch, active_at, lapse_at)
+        state.held_shards[shard] = HeldShard(shard, epoch, active_at, leases_expire_at)
         state.meter.count("shards_taken", "planned" if planned else "claimed")
 
     def _drop(self, shard: int) -> None:
@@ -156,8 +156,8 @@
         elif isinstance(message, HoldPromise):
             peer = self._state.peers.get(message.sender.name)
             if peer is not None and peer.incarnation == message.sender.incarnation:
-                valid = message.sent_at + message.duration * (1 - self._state.settings.drift)
-                peer.promised_until = max(peer.promised_until, valid)
+                valid_until = message.sent_at + message.duration * (1 - self._state.settings.drift)
+                peer.promised_until = max(peer.promised_until, valid_until)
 
     def _promise(self, request: HoldRequest) -> None:
         state = self._state
--- a/src/sablemount/core/systems/placement.py
+++ b/src/sablemount/core/systems/placement.py
@@ -112,7 +112,7 @@
             self.queue.remove(row.task)
             self._finish_cancelled(item, held)
             return False
-        # Until a newly held shard is open, only tasks that have never started may be placed in it.
+        # Before a shard's recovery is complete, only tasks that never started may be placed in it.
         known = held.recovery_complete or item.never_started
         return known and held.state is HoldState.ACTIVE and not item.move_pending
 
@@ -131,7 +131,7 @@
             key = (row.template.organisation, row.shard)
             self.quota_shortfalls[key] = row.template.shape
             return False
-        if row.template.preferences.spread and self._spread_elsewhere(item):
+        if row.template.preferences.spread and self._move_for_spread(item):
             return False
         vm = self.choose_vm(row, row.shard)
         if vm is None:
@@ -140,7 +140,7 @@
         self.start(item, vm)
         return True
 
-    def _spread_elsewhere(self, item: WaitingTask) -> bool:
+    def _move_for_spread(self, item: WaitingTask) -> bool:
         """Move a spread task, once at most, to a shard with VMs in the hall where it is due."""
         state = self._state
         if item.spread_move_done or not self._journal.healthy:
@@ -405,5 +405,5 @@
 
 
 def _cost(shape: Shape) -> float:
-    """Return the weight of a shape in fair sharing, in cores."""
+    """Return the cost of a shape in weighted fair queueing, in cores."""
     return max(1.0, shape.cores, shape.memory_mb / 4096, 8.0 * shape.accelerators)
--- a/src/sablemount/core/systems/reconcile.py
+++ b/src/sablemount/core/systems/reconcile.py
@@ -126,8 +126,8 @@
         if command is CommandKind.RESTORE and run.throttled:
             # The worker may restore the run at any moment, so the full shape stays charged.
             return
-        done = CommandKind.THROTTLE if run.throttled else CommandKind.RESTORE
-        if command is done:
+        completed = CommandKind.THROTTLE if run.throttled else CommandKind.RESTORE
+        if command is completed:
             del row.commands[run.run]
         self._state.resize_run(run, report.shape)
         self._consider_cancel(row, run)
@@ -247,7 +247,7 @@
     # -- Starts ------------------------------------------------------------------------------
 
     def start_ended(self, event: StartEnded) -> None:
-        """Handle the outcome of a start command."""
+        """Handle the outcome of a start request."""
         state = self._state
         run = state.runs.get(event.run)
         state.meter.count("starts_ended", event.status.value)
--- a/src/sablemount/core/systems/recovery.py
+++ b/src/sablemount/core/systems/recovery.py
@@ -13,7 +13,7 @@
 
 
 class Recovery:
-    """Opens held shards for placement once it is known which tasks run in them."""
+    """Completes the recovery of held shards, once it is known which tasks run in them."""
 
     def __init__(self, state: State, journal: Journal, placement: Placement) -> None:
         self._state = state
@@ -23,15 +23,18 @@
         journal.reset_listeners.append(self._reset)
 
     def run(self) -> None:
-        """Open the shards whose VMs have all answered, or whose previous leases have expired."""
+        """Complete the recovery of each shard whose previous runs are known.
+
+        That is so once all its VMs have answered, or the leases of previous owners have expired.
+        """
         state = self._state
         for held in state.held_shards.values():
             if held.recovery_complete or held.state is not HoldState.ACTIVE:
                 continue
             if state.previous_runs_known(held.shard):
-                self._open(held)
+                self._complete_recovery(held)
 
-    def _open(self, held: HeldShard) -> None:
+    def _complete_recovery(self, held: HeldShard) -> None:
         state = self._state
         held.recovery_complete = True
         state.capacity_changes[held.shard] += 1
@@ -69,20 +72,20 @@
         ledger = self._state.ledger
         if isinstance(body, records.Accept):
             for name in ledger.task_names(body):
-                self._enqueue_if_open(ledger.tasks[name], new=True)
+                self._consider_enqueueing(ledger.tasks[name], new=True)
         elif isinstance(body, records.Move | records.Cancel):
             row = ledger.tasks[body.task]
-            self._enqueue_if_open(row)
+            self._consider_enqueueing(row)
             self._stop_cancelled(row)
         elif isinstance(body, records.Publish):
             self._state.retry_all_waiting()
             for row in ledger.replicas_of(body.key):
-                self._enqueue_if_open(row)
+                self._consider_enqueueing(row)
                 self._stop_cancelled(row)
         elif isinstance(body, records.QuotaMove):
             self._state.retry_all_waiting()
 
-    def _enqueue_if_open(self, row: TaskRow, new: bool = False) -> None:
+    def _consider_enqueueing(self, row: TaskRow, new: bool = False) -> None:
         held = self._state.held_shards.get(row.shard)
         if held is None or row.finished or not (held.recovery_complete or new):
             return
--- a/src/sablemount/core/systems/requests.py
+++ b/src/sablemount/core/systems/requests.py
@@ -230,9 +230,9 @@
         else:
             self._queue.push(request)
 
-    def _expected_wait(self, order: int) -> float:
+    def _expected_wait(self, rank: int) -> float:
         """Return the expected time to serve the requests queued ahead, in seconds."""
-        return self._queue.count_ahead(order) * self._service_time / max(1, self._slots_total)
+        return self._queue.count_ahead(rank) * self._service_time / max(1, self._slots_total)
 
     def _would_miss_deadline(self, request: RequestRow) -> bool:
         """Return whether the request is expected to miss its deadline in the queue."""
