--- a/src/sablemount/core/config.py
+++ b/src/sablemount/core/config.py
@@ -47,7 +47,7 @@
     # An owner may act for claim_delay after its latest read of the log. A claimant waits for that
     # time and for settle, which covers commands that are still on their way. drift is the maximum
     # relative difference of the rates of two clocks. Without reads, an owner may go on by promises
-    # of the other members, but not for longer than hold_limit.
+    # of the other members, each for promise seconds, but not for longer than hold_limit.
     claim_delay: Seconds = 2.0
     settle: Seconds = 0.5
     drift: Share = 0.001
--- a/src/sablemount/core/request_queue.py
+++ b/src/sablemount/core/request_queue.py
@@ -93,6 +93,6 @@
             found = [row for row in queue if row.arrival.deadline <= now]
             if found:
                 expired.extend(found)
-                kept = (row for row in queue if row.arrival.deadline > now)
-                self._classes[rank] = deque(kept)
+                remaining = (row for row in queue if row.arrival.deadline > now)
+                self._classes[rank] = deque(remaining)
         return expired
--- a/src/sablemount/core/state.py
+++ b/src/sablemount/core/state.py
@@ -36,8 +36,9 @@
     The scheduler may act on its shards while ``now`` is below ``lease_until``. ``held_shards``
     contains the shards that it owns according to the ledger, and ``run_of`` maps a task to its
     current run. ``last_caught_up_at`` is the time at which the latest read was sent after which
-    the ledger had reached the end of the log. ``drain_notices`` has the drains that operators have
-    requested by VM, which take precedence over those in the ledger.
+    the ledger had reached the end of the log. ``drain_notices`` maps a VM to ``True`` if an
+    operator has drained it and ``False`` if it was returned to use, until the log has settled this.
+    A notice takes precedence over the ledger.
     """
 
     def __init__(
--- a/src/sablemount/core/systems/commands.py
+++ b/src/sablemount/core/systems/commands.py
@@ -1,4 +1,4 @@
-"""Commands of callers and operators, which take effect once their records are in the log."""
+"""Commands of callers and operators, which are written to the log as records."""
 
 import msgspec
 from result import Err
--- a/src/sablemount/core/systems/preemption.py
+++ b/src/sablemount/core/systems/preemption.py
@@ -113,7 +113,7 @@
             return
         self._restore()
         for task in list(self._reservations):
-            self._settle(task, self._reservations[task])
+            self._check_reservation(task, self._reservations[task])
         for item in self._preempting_items():
             item.next_preemption_at = self._state.now + RETRY_INTERVAL_S
             self._preempt_for(item)
@@ -133,7 +133,7 @@
 
     # -- Reservations ------------------------------------------------------------------------
 
-    def _settle(self, task: str, reservation: _Reservation) -> None:
+    def _check_reservation(self, task: str, reservation: _Reservation) -> None:
         state = self._state
         row = state.vms.get(reservation.vm)
         waiting = self._placement.queue.get(task) is reservation.item
@@ -217,8 +217,10 @@
         ]
         shape = item.row.template.shape
         free = self._expected_capacity(row)
-        milder = [self._victim_of(run, without_stop=True) for run in lower if _needs_no_stop(run)]
-        return _cheapest_sufficient(free, shape, milder) or _cheapest_sufficient(
+        without_stop = [
+            self._victim_of(run, without_stop=True) for run in lower if _needs_no_stop(run)
+        ]
+        return _cheapest_sufficient(free, shape, without_stop) or _cheapest_sufficient(
             free,
             shape,
             [self._victim_of(run, without_stop=False) for run in lower],
@@ -324,18 +326,18 @@
 
 def _cheapest_sufficient(free: _Capacity, shape: Shape, options: list[_Victim]) -> list[_Victim]:
     """Return the cheapest options that suffice together, less those that prove unnecessary."""
-    taken: list[_Victim] = []
+    chosen: list[_Victim] = []
     for victim in sorted(options, key=lambda item: item.cost / max(1, item.freed.cores)):
-        taken.append(victim)
-        if _suffice(free, shape, taken):
+        chosen.append(victim)
+        if _suffice(free, shape, chosen):
             break
     else:
         return []
-    for victim in list(taken):
-        rest = [other for other in taken if other is not victim]
+    for victim in list(chosen):
+        rest = [other for other in chosen if other is not victim]
         if _suffice(free, shape, rest):
-            taken = rest
-    return taken
+            chosen = rest
+    return chosen
 
 
 def _suffice(free: _Capacity, shape: Shape, victims: list[_Victim]) -> bool:
--- a/src/sablemount/core/systems/snapshots.py
+++ b/src/sablemount/core/systems/snapshots.py
@@ -24,14 +24,14 @@
     def run(self) -> None:
         """Write a snapshot if one is due and this member has to write it."""
         state = self._state
-        age = state.ledger.offset - state.ledger.snapshot_offset
-        if age < state.settings.snapshot_entries or not self._membership.joined:
+        new_entries = state.ledger.offset - state.ledger.snapshot_offset
+        if new_entries < state.settings.snapshot_entries or not self._membership.joined:
             return
         if not self._journal.healthy or self._journal.unsettled(records.SnapshotPart):
             return
         members = self._membership.live_members()
         rank = members.index(state.writer) if state.writer in members else len(members)
-        if age < state.settings.snapshot_entries * (1 + RANK_DELAY * rank):
+        if new_entries < state.settings.snapshot_entries * (1 + RANK_DELAY * rank):
             return
         for part in split_image(image_of(state.ledger)):
             self._journal.write(part)
