--- a/src/sablemount/core/systems/preemption.py
+++ b/src/sablemount/core/systems/preemption.py
@@ -217,10 +217,10 @@
         ]
         shape = item.row.template.shape
         free = self._expected_capacity(row)
-        without_stop = [
+        victims_without_stop = [
             self._victim_of(run, without_stop=True) for run in lower if _needs_no_stop(run)
         ]
-        return _cheapest_sufficient(free, shape, without_stop) or _cheapest_sufficient(
+        return _cheapest_sufficient(free, shape, victims_without_stop) or _cheapest_sufficient(
             free,
             shape,
             [self._victim_of(run, without_stop=False) for run in lower],
