--- a/src/sablemount/core/systems/preemption.py
+++ b/src/sablemount/core/systems/preemption.py
@@ -33,7 +33,7 @@
 RESTORE_INTERVAL_S = 5.0
 """Time between two checks for throttled runs that can be restored."""
 CHECKPOINT_COST = 0.2
-"""Cost of a checkpoint, as a share of the cost of a stop."""
+"""Work that a checkpoint loses, as a share of what a stop loses."""
 THROTTLE_COST = 0.1
 """Cost of a throttle, as a share of the cost of a stop."""
 PREEMPTION_WINDOW_S = 60.0
@@ -45,7 +45,7 @@
 }
 """Share of the work done so far that each kind of preemption loses."""
 CLASS_COST_CORE_S = 100.0
-"""Cost added for each priority class that a victim ranks higher."""
+"""Cost that is added per rank of a victim's priority class, counted up from the lowest class."""
 
 
 class _Victim(msgspec.Struct, frozen=True):
@@ -113,13 +113,16 @@
             return
         self._restore()
         for task in list(self._reservations):
-            self._settle(task, self._reservations[task])
+            self._check_reservation(task, self._reservations[task])
         for item in self._preempting_items():
             item.next_preemption_at = self._state.now + RETRY_INTERVAL_S
             self._preempt_for(item)
 
     def _preempting_items(self) -> list[WaitingTask]:
-        """Return the tasks that may preempt in this tick, those of the highest priority first."""
+        """Return the tasks that may preempt, of those that this tick's placement has left waiting.
+
+        Tasks of the highest level come first.
+        """
         due: list[WaitingTask] = []
         queue = self._placement.queue
         for level in range(LEVEL_COUNT):
@@ -130,7 +133,7 @@
 
     # -- Reservations ------------------------------------------------------------------------
 
-    def _settle(self, task: str, reservation: _Reservation) -> None:
+    def _check_reservation(self, task: str, reservation: _Reservation) -> None:
         state = self._state
         row = state.vms.get(reservation.vm)
         waiting = self._placement.queue.get(task) is reservation.item
@@ -214,8 +217,10 @@
         ]
         shape = item.row.template.shape
         free = self._expected_capacity(row)
-        milder = [self._victim_of(run, without_stop=True) for run in lower if _needs_no_stop(run)]
-        return _cheapest_sufficient(free, shape, milder) or _cheapest_sufficient(
+        victims_without_stop = [
+            self._victim_of(run, without_stop=True) for run in lower if _needs_no_stop(run)
+        ]
+        return _cheapest_sufficient(free, shape, victims_without_stop) or _cheapest_sufficient(
             free,
             shape,
             [self._victim_of(run, without_stop=False) for run in lower],
@@ -321,18 +326,18 @@
 
 def _cheapest_sufficient(free: _Capacity, shape: Shape, options: list[_Victim]) -> list[_Victim]:
     """Return the cheapest options that suffice together, less those that prove unnecessary."""
-    taken: list[_Victim] = []
+    chosen: list[_Victim] = []
     for victim in sorted(options, key=lambda item: item.cost / max(1, item.freed.cores)):
-        taken.append(victim)
-        if _suffice(free, shape, taken):
+        chosen.append(victim)
+        if _suffice(free, shape, chosen):
             break
     else:
         return []
-    for victim in list(taken):
-        rest = [other for other in taken if other is not victim]
+    for victim in list(chosen):
+        rest = [other for other in chosen if other is not victim]
         if _suffice(free, shape, rest):
-            taken = rest
-    return taken
+            chosen = rest
+    return chosen
 
 
 def _suffice(free: _Capacity, shape: Shape, victims: list[_Victim]) -> bool:
