--- a/src/sablemount/adapters/cell_services.py
+++ b/src/sablemount/adapters/cell_services.py
@@ -102,7 +102,7 @@
         self._client = _client()
 
     async def vms(self) -> VmListRead | None:
-        """Return the list, or ``None`` if the service does not response."""
+        """Return the list, or ``None`` if the service does not answer."""
         try:
             response = await self._client.fetch(self._url, request_timeout=self._timeout)
             return VmListRead(_LIST_DECODER.decode(response.body))
--- a/src/sablemount/adapters/ending_server.py
+++ b/src/sablemount/adapters/ending_server.py
@@ -2,7 +2,7 @@
 
 HTTP/1.1 has no way to announce that an idle connection is about to be closed, so a client may send
 a request while the server closes it. The server therefore first writes a final response, which
-says that no request is accepted, and then closes only its own direction of the connection. A
+says that no request is accepted, and then closes only its sending direction of the connection. A
 request that was already on its way gets this response, and a client without one sees the end of the
 stream. Whatever still arrives is read and discarded.
 """
@@ -151,10 +151,10 @@
         return len(idle)
 
     def shut_down(self) -> int:
-        """Stop listening, send the final response where no request is complete; return how often.
+        """Stop listening, and send the final response where no request is complete.
 
-        Connections that were established before get the final response, including those not yet
-        accepted; later ones are refused.
+        Connections that are established but not accepted yet get it too; later ones are refused.
+        Returns the number of connections that were idle or had sent a part of a request.
         """
         for listener in self._sockets.values():
             self._accept_pending(listener)
--- a/src/sablemount/adapters/upstream.py
+++ b/src/sablemount/adapters/upstream.py
@@ -41,7 +41,7 @@
 class IncompleteResponse(Exception):
     """The request may have arrived, but no complete response was received.
 
-    ``received`` is the number of bytes of the response's body that were.
+    ``received`` is the number of bytes of the response's body that arrived.
     """
 
     def __init__(self, reason: str, received: int = 0) -> None:
@@ -122,7 +122,7 @@
         return sum(len(chunk) for chunk in self.chunks)
 
     def data_received(self, chunk: bytes) -> None:
-        """Store a part of the body; its call is no longer overdue."""
+        """Store a part of the body; from now on the call cannot be overdue."""
         self.chunks.append(chunk)
         self._pending.overdue_at = float("inf")
         if self._streaming is not None:
@@ -172,10 +172,10 @@
         """Send a request once and return the complete response.
 
         ``timeout`` is in seconds. ``not_after`` is the last monotonic time at which the request
-        may be handed to the network. ``waits`` is how many seconds the upstream is asked to delay
-        its response (long polling). With ``streaming``, a response that has begun may take longer
-        than ``timeout`` as long as more of it arrives. Raises ``RequestNotSent`` or
-        ``IncompleteResponse``.
+        may be handed to the network. ``waits`` is how many seconds the upstream may delay its
+        response, as in long polling, before the call can become overdue. With ``streaming``, a
+        response that has begun may take longer than ``timeout`` as long as more of it arrives.
+        Raises ``RequestNotSent`` or ``IncompleteResponse``.
         """
         deadline = monotonic() + timeout
         stream = await self._take(address, deadline)
--- a/src/sablemount/boottime.py
+++ b/src/sablemount/boottime.py
@@ -21,7 +21,7 @@
 
 
 class BoottimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers and time-outs include suspended time.
+    """An event loop whose timers and timeouts include suspended time.
 
     A timer that expires during a suspension runs after it, with the next event or timer.
     """
--- a/src/sablemount/entry/application.py
+++ b/src/sablemount/entry/application.py
@@ -262,7 +262,7 @@
 
 
 SCHEDULER_STOPPED = Failure(Verdict.NOT_RUN, Reason.STOPPING, "the scheduler has stopped")
-"""Final response on each connection when the HTTP server shuts down."""
+"""Failure in the final response on each connection when the HTTP server shuts down."""
 
 
 def make_server(runtime: Runtime) -> GracefulServer:
--- a/src/sablemount/platform/main.py
+++ b/src/sablemount/platform/main.py
@@ -135,8 +135,8 @@
             "ready": self._ready.shut_down(),
             "metrics": self._metrics.shut_down(),
         }
-        # Requests on their way are still read and answered: closing a connection with unread
-        # data would reset it, and its caller would lose the response.
+        # Time to send the last responses and to read requests that are still on their way: closing
+        # a connection with unread data would reset it, and its caller would lose the response.
         await asyncio.sleep(STOP_POLL_S)
         self.member.close()
         _logger.info("stopped", extra={"in_flight": self.frontend.in_flight, "ended": closed})
--- a/src/sablemount/report.py
+++ b/src/sablemount/report.py
@@ -78,7 +78,7 @@
 
 
 class BurnHistory:
-    """Keeps the counters at each step; the counts over a window are a difference of two steps."""
+    """Keeps the counters at each step; the counts over a window are their increase since a step."""
 
     def __init__(self) -> None:
         self._steps: deque[tuple[float, Counter[tuple[str, str]]]] = deque(
--- a/src/sablemount/structured_logs.py
+++ b/src/sablemount/structured_logs.py
@@ -141,8 +141,8 @@
             try:
                 written = os.write(self._descriptor, self._unsent)
             except OSError:
-                # The reader does not keep up. The buffer is written with the next line; lines that
-                # no longer fit are dropped and counted.
+                # The reader does not keep up, or there is none. The buffer is written with the next
+                # line; lines that no longer fit are dropped and counted.
                 return
             del self._unsent[:written]
 
