--- a/src/sablemount/adapters/ending_server.py
+++ b/src/sablemount/adapters/ending_server.py
@@ -119,7 +119,7 @@
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
         """Return the delegate for the next request of a connection."""
-        return _CompleteRequests(
+        return _CompleteRequest(
             super().start_request(server_conn, request_conn), request_conn, self
         )
 
@@ -209,8 +209,8 @@
         _logger.debug("connection ended", extra={"error": repr(error)})
 
 
-class _CompleteRequests(httputil.HTTPMessageDelegate):
-    """Passes on requests that were complete before their connection got the final response."""
+class _CompleteRequest(httputil.HTTPMessageDelegate):
+    """Passes on one request; drops it if the final response was sent before it was complete."""
 
     def __init__(
         self,
--- a/src/sablemount/cli/app.py
+++ b/src/sablemount/cli/app.py
@@ -62,10 +62,10 @@
 
 
 def _call(context: typer.Context, method: str, path: str, body: Any = None) -> Any:
-    answer = _client(context).call(method, path, body)
-    if isinstance(answer, Err):
-        _exit_with_error(answer.err_value)
-    return answer.ok_value
+    result = _client(context).call(method, path, body)
+    if isinstance(result, Err):
+        _exit_with_error(result.err_value)
+    return result.ok_value
 
 
 def _exit_with_error(error: ClientError) -> NoReturn:
@@ -106,14 +106,14 @@
     if expected is None:
         expected = _current_revision(context, key)
     body = {"document": document, "expected": expected, "author": author}
-    answer = _client(context).call("PUT", f"/v1/documents/{key}", body)
-    if isinstance(answer, Err):
-        _show_conflict(document, answer.err_value)
-        _exit_with_error(answer.err_value)
+    result = _client(context).call("PUT", f"/v1/documents/{key}", body)
+    if isinstance(result, Err):
+        _show_conflict(document, result.err_value)
+        _exit_with_error(result.err_value)
     elif as_json:
-        show_json(answer.ok_value)
+        show_json(result.ok_value)
     else:
-        typer.echo(f"{key} is at revision {answer.ok_value['revision']}")
+        typer.echo(f"{key} is at revision {result.ok_value['revision']}")
 
 
 def _current_revision(context: typer.Context, key: str) -> int:
--- a/src/sablemount/cli/burn.py
+++ b/src/sablemount/cli/burn.py
@@ -70,11 +70,11 @@
     parts: list[BurnPart] = []
     unreachable = []
     for address in addresses:
-        answer = Client(address, TIMEOUT_S).call("GET", "/v1/burn")
-        if isinstance(answer, Err):
+        result = Client(address, TIMEOUT_S).call("GET", "/v1/burn")
+        if isinstance(result, Err):
             unreachable.append(address)
         else:
-            parts.append(msgspec.convert(answer.ok_value, BurnPart))
+            parts.append(msgspec.convert(result.ok_value, BurnPart))
     members = {name for part in parts for name in part.members}
     answered = sorted(part.scheduler for part in parts)
     missing = sorted(members - set(answered))
--- a/src/sablemount/platform/front.py
+++ b/src/sablemount/platform/front.py
@@ -312,8 +312,8 @@
     """Return the server of the process's metrics and the gauges that ``more`` returns."""
 
     def answer(request: httputil.HTTPServerRequest) -> None:
-        accepts = request.headers.get_list("Accept")
-        text = member.metrics.render(member.gauges() | more(), accepts)
+        accepted_types = request.headers.get_list("Accept")
+        text = member.metrics.render(member.gauges() | more(), accepted_types)
         respond(request, HTTPStatus.OK, text, {"Content-Type": "text/plain; version=0.0.4"})
 
     return GracefulServer(answer)
--- a/src/sablemount/platform/store.py
+++ b/src/sablemount/platform/store.py
@@ -135,7 +135,7 @@
     async def newest(
         self, topic: Topic, after: str, timeout: float, progress: TransferProgress | None = None
     ) -> Page | Unavailable:
-        """Return a page of the newest record of each key, in order of the keys after ``after``."""
+        """Return a page of the newest records of the keys that follow ``after``, in key order."""
         path = f"/api/log-newest?topic={TOPICS[topic]}&part={PARTITION}"
         if after:
             path += f"&dependsOn={_quoted(after)}"
--- a/src/sablemount/platform/workers.py
+++ b/src/sablemount/platform/workers.py
@@ -25,7 +25,8 @@
 INSTANCE_HEADER = "Expect-Instance"
 OK = 200
 CONFLICT = 409
-WRONG_INCARNATION_STATUS = 421
+WRONG_INSTANCE_STATUS = 421
+"""The process at the address does not have the worker id in ``Expect-Instance``."""
 UNHEALTHY_STATUSES = (429, 503)
 FENCE = "fence"
 REFUSALS = {
@@ -109,7 +110,7 @@
         if isinstance(response, CallError):
             return response
         if response.status != OK:
-            return _error(response)
+            return _call_error(response)
         try:
             reply = _HOLD_REPLY.decode(response.body)
         except msgspec.DecodeError:
@@ -146,8 +147,8 @@
         if response.status == CONFLICT and reply.reason != FENCE:
             return REFUSALS.get(reply.reason, StartRefusal.REJECTED)
         return (
-            _error(response)
-            if response.status in (CONFLICT, WRONG_INCARNATION_STATUS)
+            _call_error(response)
+            if response.status in (CONFLICT, WRONG_INSTANCE_STATUS)
             else StartRefusal.REJECTED
         )
 
@@ -171,7 +172,7 @@
         response = await self._call(address, path, body, incarnation, timeout)
         if isinstance(response, CallError):
             return response
-        return None if response.status == OK else _error(response)
+        return None if response.status == OK else _call_error(response)
 
     async def _call(
         self,
@@ -192,8 +193,8 @@
             return CallError.NO_ANSWER
 
 
-def _error(response: Response) -> CallError:
-    if response.status == WRONG_INCARNATION_STATUS:
+def _call_error(response: Response) -> CallError:
+    if response.status == WRONG_INSTANCE_STATUS:
         return CallError.OTHER_INCARNATION
     try:
         reply = _REPLY.decode(response.body)
