--- a/src/sablemount/adapters/ending_server.py
+++ b/src/sablemount/adapters/ending_server.py
@@ -2,7 +2,7 @@
 
 HTTP/1.1 has no way to announce that an idle connection is about to be closed, so a client may send
 a request while the server closes it. The server therefore first writes a final response, which
-says that no request is accepted, and then closes only its own direction of the connection. A
+says that no request is accepted, and then closes only its sending direction of the connection. A
 request that was already on its way gets this response, and a client without one sees the end of the
 stream. Whatever still arrives is read and discarded.
 """
@@ -119,7 +119,7 @@
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
         """Return the delegate for the next request of a connection."""
-        return _CompleteRequests(
+        return _CompleteRequest(
             super().start_request(server_conn, request_conn), request_conn, self
         )
 
@@ -151,10 +151,10 @@
         return len(idle)
 
     def shut_down(self) -> int:
-        """Stop listening, send the final response where no request is complete; return how often.
+        """Stop listening, and send the final response where no request is complete.
 
-        Connections that were established before get the final response, including those not yet
-        accepted; later ones are refused.
+        Connections that are established but not accepted yet get it too; later ones are refused.
+        Returns the number of connections that were idle or had sent a part of a request.
         """
         for listener in self._sockets.values():
             self._accept_pending(listener)
@@ -209,8 +209,8 @@
         _logger.debug("connection ended", extra={"error": repr(error)})
 
 
-class _CompleteRequests(httputil.HTTPMessageDelegate):
-    """Passes on requests that were complete before their connection got the final response."""
+class _CompleteRequest(httputil.HTTPMessageDelegate):
+    """Passes on one request; drops it if the final response was sent before it was complete."""
 
     def __init__(
         self,
