--- a/benchmarks/played_day.py
+++ b/benchmarks/played_day.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from benchmarks.lost_time import Span, spans
-from sablemount.jobs.job_lines import RunColumns
+from sablemount.jobs.job_lines import RunLogRow
 
 __all__ = ["DONE", "FAILED", "Day", "Job", "Line", "Run", "parse", "read"]
 
@@ -141,7 +141,7 @@
     def _add_completed_runs(self, job: Job, line: Line) -> None:
         """Add the completed runs of a job, whose times count from when its leader learned of it."""
         known_at = line.at - line.number("known")
-        for task, number, _vm, began, ended, how in line.rows("runs", RunColumns):
+        for task, number, _vm, began, ended, how in line.rows("runs", RunLogRow):
             run = self._run(f"{job.name}.{task}", number, known_at + began)
             self._end_run(run, known_at + ended, how)
 
--- a/src/sablemount/control/advice_calls.py
+++ b/src/sablemount/control/advice_calls.py
@@ -54,7 +54,7 @@
                 action.call_slot, action.step, action.vms, reply.good, reply.valid_ms
             )
         else:
-            self._advice.failed(action.call_slot, action.step)
+            self._advice.call_failed(action.call_slot, action.step)
 
     async def _call(self, action: AskAdvice, timeout: float) -> AdviceReply:
         if action.call_slot == self._name:
--- a/src/sablemount/control/caller_route.py
+++ b/src/sablemount/control/caller_route.py
@@ -151,6 +151,6 @@
 
 def _reply_to_failure(call: CallerCall, failed: CallFailed) -> CallerReply:
     """Return the answer for a call without a reply; it shows whether the call may have run."""
-    if failed.sent and call.operation is not Operation.STATE:
+    if failed.may_have_run and call.operation is not Operation.STATE:
         return CallerReply(Outcome.UNKNOWN, reason=str(failed), changing=failed.closed)
-    return not_taken(str(failed), changing=not failed.sent or failed.closed)
+    return not_taken(str(failed), changing=not failed.may_have_run or failed.closed)
--- a/src/sablemount/control/commit.py
+++ b/src/sablemount/control/commit.py
@@ -280,7 +280,7 @@
         """
         predecessor = min(self._pending, key=lambda entry: entry.sequence)
         if predecessor.sequence < sequence:
-            self._loss_detector.record_too_early(answers, predecessor.last_sent_at)
+            self._loss_detector.record_predecessor_missing(answers, predecessor.last_sent_at)
         lossy = self._loss_detector.is_lossy()
         await self._wait_for_predecessor(sequence, interval if lossy else MAX_RETRY_INTERVAL_S)
 
@@ -357,9 +357,9 @@
             # there is none, the sequence numbers of this epoch are inconsistent.
             first = min(entry.sequence for entry in self._pending)
             settled = first == sequence and answer.sent_at >= self._settled_at
-            if result.wanted < sequence and settled:
+            if result.expected < sequence and settled:
                 raise LostLeadership(self._epoch)
-            return result.wanted > sequence
+            return result.expected > sequence
         return isinstance(result, Appended)
 
     def _log_settled(self, entry: "_PendingAppend", attempts: int, settled_by: str) -> None:
--- a/src/sablemount/control/configuration_feed.py
+++ b/src/sablemount/control/configuration_feed.py
@@ -309,7 +309,7 @@
 
     def _handle_failure(self, failed: CallFailed, source: str) -> None:
         self._metrics.count("configuration_part", "failed")
-        if failed.sent and not failed.closed:
+        if failed.may_have_run and not failed.closed:
             self._part_timeout = min(MAX_PART_TIMEOUT_S, 2 * self._part_timeout)
         if not self._stalled:
             self._stalled = True
--- a/src/sablemount/control/hand_over.py
+++ b/src/sablemount/control/hand_over.py
@@ -15,7 +15,7 @@
 from sablemount.control.network import CallFailed, Link
 from sablemount.control.preload import Preload
 
-__all__ = ["Successor", "hand_over", "offer_leadership"]
+__all__ = ["Successor", "hand_over_leadership", "offer_leadership"]
 
 TAKEOVER_REPLY_TIMEOUT_S = 0.5
 """Seconds that a member has to answer whether it takes over."""
@@ -40,7 +40,7 @@
 _logger = logging.getLogger("sablemount.control.member")
 
 
-async def hand_over(leader: Leader) -> None:
+async def hand_over_leadership(leader: Leader) -> None:
     """Hand the leadership over if a member takes it, then end it."""
     if await _request_takeover(leader, leader.members.successor_candidates(), once_read=False):
         # The leader serves callers and sends requests until its successor has claimed.
--- a/src/sablemount/control/leader_link.py
+++ b/src/sablemount/control/leader_link.py
@@ -130,7 +130,7 @@
     async def call(self, message: Message, timeout: float) -> Reply:
         """Call the leader; raises ``CallFailed``."""
         if self._link is None or not self.leader_active:
-            raise CallFailed("no leader is known here", sent=False)
+            raise CallFailed("no leader is known here", may_have_run=False)
         return await self._link.call(message, timeout)
 
     async def call_once(self, address: str, message: Message, timeout: float) -> Reply:
--- a/src/sablemount/control/lost_writes.py
+++ b/src/sablemount/control/lost_writes.py
@@ -118,7 +118,9 @@
             self._mark_lossy()
             self._confirmed_until = self._lossy_until
 
-    def record_too_early(self, answers: Iterable[Answer], predecessor_sent_at: float) -> None:
+    def record_predecessor_missing(
+        self, answers: Iterable[Answer], predecessor_sent_at: float
+    ) -> None:
         """Record that an append was out of order, and when its predecessor was last sent."""
         if monotonic() - predecessor_sent_at > self.overdue_after() and self._any_quick(answers):
             self._mark_lossy()
--- a/src/sablemount/control/member.py
+++ b/src/sablemount/control/member.py
@@ -15,7 +15,7 @@
 from sablemount.control.election import Election
 from sablemount.control.figures import Metrics
 from sablemount.control.follow import Follower
-from sablemount.control.hand_over import Successor, hand_over, offer_leadership
+from sablemount.control.hand_over import Successor, hand_over_leadership, offer_leadership
 from sablemount.control.leader import Leader, LeaderPorts
 from sablemount.control.leader_link import LeaderLink
 from sablemount.control.load import LoadProgress, LoadStore
@@ -154,7 +154,7 @@
         self.stopping = self._link.stopping = True
         leader = self.leader
         if leader is not None:
-            await hand_over(leader)
+            await hand_over_leadership(leader)
 
     def close(self) -> None:
         """Close all connections and cancel all tasks."""
--- a/src/sablemount/control/network.py
+++ b/src/sablemount/control/network.py
@@ -9,16 +9,16 @@
 
 
 class CallFailed(Exception):
-    """A call had no answer; unless ``sent`` is false, it may have taken effect.
+    """A call had no answer; unless ``may_have_run`` is false, it may have taken effect.
 
     ``refused`` means that nothing listens at the address, ``closed`` that the connection ended.
     """
 
     def __init__(
-        self, reason: str, sent: bool, refused: bool = False, closed: bool = False
+        self, reason: str, may_have_run: bool, refused: bool = False, closed: bool = False
     ) -> None:
         super().__init__(reason)
-        self.sent = sent
+        self.may_have_run = may_have_run
         self.refused = refused
         self.closed = closed
 
--- a/src/sablemount/control/store.py
+++ b/src/sablemount/control/store.py
@@ -61,7 +61,7 @@
 class WrongSequence(msgspec.Struct, frozen=True):
     """Refused: the store expects another sequence number."""
 
-    wanted: int
+    expected: int
 
 
 class Conflict(msgspec.Struct, frozen=True):
--- a/src/sablemount/control/vm_calls.py
+++ b/src/sablemount/control/vm_calls.py
@@ -337,7 +337,7 @@
 
     async def _throttle(self, action: ThrottleRun) -> None:
         if await self._request(action.vm, partial(self._port.pace, action)) is not None:
-            self._scheduler.throttling.failed(action.vm, action.task, action.run)
+            self._scheduler.throttling.throttle_failed(action.vm, action.task, action.run)
 
     async def _request(self, vm: str, send: RequestCall) -> CallError | None:
         """Send a request if the leader has the authority; return the error of the call, if any."""
--- a/src/sablemount/jobs/job_lines.py
+++ b/src/sablemount/jobs/job_lines.py
@@ -8,7 +8,7 @@
 
 from sablemount.jobs.tables import JobRow, RunCompletion, RunRow, StepRow, TaskRow, VmRow
 
-__all__ = ["RunColumns", "log_job_end", "log_lost_runs", "log_placement"]
+__all__ = ["RunLogRow", "log_job_end", "log_lost_runs", "log_placement"]
 
 MS_PER_S = 1000.0
 MAX_RUNS_PER_LINE = 60
@@ -17,7 +17,7 @@
 MAX_RUN_BYTES_PER_LINE = 3_600
 """Largest number of bytes of runs in a line about a job's end; its other fields take 400."""
 
-RunColumns = tuple[str, int, str, float, float, str]
+RunLogRow = tuple[str, int, str, float, float, str]
 """Task within the job, run number, VM, start, end and outcome of a run.
 
 Start and end are in seconds since this leader learnt of the job, as is the field ``known``.
@@ -99,9 +99,9 @@
     )
 
 
-def _split_rows(rows: list[RunColumns]) -> list[list[RunColumns]]:
+def _split_rows(rows: list[RunLogRow]) -> list[list[RunLogRow]]:
     """Divide rows over lines; return at least one line."""
-    parts: list[list[RunColumns]] = [[]]
+    parts: list[list[RunLogRow]] = [[]]
     size = 0
     for row in rows:
         length = len(str(row))
@@ -113,7 +113,7 @@
     return parts
 
 
-def _run_row(completion: RunCompletion, since: float) -> RunColumns:
+def _run_row(completion: RunCompletion, since: float) -> RunLogRow:
     task = completion.task.partition(".")[2]
     start_s, end_s = round(completion.started_at - since, 3), round(completion.ended_at - since, 3)
     return (task, completion.number, completion.vm, start_s, end_s, completion.outcome)
--- a/src/sablemount/jobs/journal.py
+++ b/src/sablemount/jobs/journal.py
@@ -44,7 +44,7 @@
     """State of the jobs whose progress is in the batch, by job."""
     vms_in_use: dict[str, int] = {}
     """Number of the use record, by VM that may be given work once the batch is stored."""
-    completions: dict[str, int] = {}
+    last_completions: dict[str, int] = {}
     """Number of the last recorded completion, by VM."""
     recorded_runs: list[RunRow] = []
     """Runs whose start requests wait for this batch."""
@@ -206,7 +206,7 @@
         for row in self._state.vms.values():
             if row.last_seen_completion > row.last_batched_completion:
                 row.last_batched_completion = row.last_seen_completion
-                batch.completions[row.name] = row.last_seen_completion
+                batch.last_completions[row.name] = row.last_seen_completion
 
     def batch_stored(self, batch: Batch) -> None:
         """Handle a batch that is in the store."""
@@ -224,7 +224,7 @@
             if row is not None and current and not row.in_use:
                 row.in_use = True
                 self._state.capacity_version += 1
-        for vm, number in batch.completions.items():
+        for vm, number in batch.last_completions.items():
             row = self._state.vms.get(vm)
             if row is not None:
                 row.last_recorded_completion = max(row.last_recorded_completion, number)
--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -221,7 +221,7 @@
                 self.lifecycle.restore_ended(name, ended)
         # An incarnation that another one has followed has crashed, which counts for the restored
         # jobs.
-        self.vms.loaded()
+        self.vms.finish_loading()
         self.vms.previous_leader_may_start()
 
     def _load_record(
@@ -409,7 +409,7 @@
         elif why is StartRefusal.TICKET:
             found = self.state.task(task)
             if found is not None:
-                self.advice.refused(found.step, vm)
+                self.advice.ticket_refused(found.step, vm)
         if certain:
             self.reconcile.run_not_started(vm, task, number)
 
@@ -431,4 +431,4 @@
             job = self.state.jobs.get(name)
             if job is not None:
                 for step in job.steps.values():
-                    self.state.touch(step)
+                    self.state.mark_for_placement(step)
--- a/src/sablemount/jobs/state.py
+++ b/src/sablemount/jobs/state.py
@@ -89,7 +89,7 @@
         self.vms_version = 0
         """Version of the VMs: counts changes that may make VMs usable that steps have no advice on
         yet."""
-        self.touched_steps: set[str] = set()
+        self.steps_marked_for_placement: set[str] = set()
         """Steps to be placed again although no capacity was freed."""
         self.previous_runs_settled = False
         """Whether all runs that previous leaders started are known or over."""
@@ -123,9 +123,9 @@
         """Have the progress of a job recorded with the next batch."""
         self.dirty_jobs[job.name] = job
 
-    def touch(self, step: StepRow) -> None:
+    def mark_for_placement(self, step: StepRow) -> None:
         """Have a step considered in the next placement round."""
-        self.touched_steps.add(step.key)
+        self.steps_marked_for_placement.add(step.key)
 
     # -- Lookups -----------------------------------------------------------------------------
 
@@ -286,7 +286,7 @@
         task.step.waiting += 1
         task.step.requeued_at = self.now
         self.open_steps[task.step.key] = task.step
-        self.touch(task.step)
+        self.mark_for_placement(task.step)
 
     def release_reserved(self, step: StepRow) -> None:
         """Release the capacity that was reserved for a step."""
--- a/src/sablemount/jobs/systems/acks.py
+++ b/src/sablemount/jobs/systems/acks.py
@@ -13,7 +13,7 @@
 
 __all__ = ["Acks"]
 
-MAX_REPORT_AGE_S = 0.1
+MAX_ACK_REPORT_AGE_S = 0.1
 """Maximum age of a VM's last report when an acknowledgement is sent: shorter than a restart of the
 VM, and longer than the store usually takes to record its completions."""
 LATE_START_WINDOW_S = 0.75
@@ -41,7 +41,7 @@
 
     def due(self, row: VmRow) -> int:
         """Return the number that a poll may acknowledge now; 0 if none."""
-        recent = self._state.now - row.last_report_at <= MAX_REPORT_AGE_S
+        recent = self._state.now - row.last_report_at <= MAX_ACK_REPORT_AGE_S
         return (
             row.last_recorded_completion
             if self.pending(row) and recent and self._no_start_in_flight(row)
--- a/src/sablemount/jobs/systems/advice.py
+++ b/src/sablemount/jobs/systems/advice.py
@@ -126,7 +126,7 @@
         row = self._finish(slot)
         if row is not None:
             row.failures += 1
-            row.waiting_since = self._state.now
+            row.calls_sent_or_abandoned_at = self._state.now
 
     def _finish(self, slot: _CallSlot) -> AdviceRow | None:
         """Mark a slot's call as finished, and return the advice of its step."""
@@ -138,8 +138,8 @@
         row = step.advice
         row.calls_in_flight -= 1
         if not row.calls_in_flight:
-            row.waited_s += self._state.now - row.waiting_since
-        self._state.touch(step)
+            row.waited_s += self._state.now - row.calls_sent_or_abandoned_at
+        self._state.mark_for_placement(step)
         return row
 
     # -- Requests ----------------------------------------------------------------------------
@@ -152,7 +152,10 @@
         row = step.advice
         if row is None or row.calls_in_flight or not vms:
             return
-        if row.failures and self._state.now < row.waiting_since + RETRY_AFTER_S * row.failures:
+        if (
+            row.failures
+            and self._state.now < row.calls_sent_or_abandoned_at + RETRY_AFTER_S * row.failures
+        ):
             return
         self._pending[step.key] = (step, tuple(vms), share)
         if share:
@@ -180,7 +183,7 @@
         if sign < 0:
             slot.share = 0.0
             for step in self._deferred.values():
-                self._state.touch(step)
+                self._state.mark_for_placement(step)
             self._deferred.clear()
 
     def permits(self, step: StepRow, vm: VmRow) -> bool:
@@ -194,19 +197,19 @@
         ticket = row.tickets.get(vm.name)
         return ticket is not None and self._state.now < ticket.until - TICKET_MARGIN_S
 
-    def unknown(self, step: StepRow, vm: VmRow) -> bool:
+    def lacks_advice(self, step: StepRow, vm: VmRow) -> bool:
         """Return whether there is no advice yet on a VM for a step."""
         row = step.advice
         return row is not None and vm.name not in row.tickets and vm.name not in row.denied_vms
 
-    def cost(self, step: StepRow, count: int) -> float:
+    def expected_call_s(self, step: StepRow, count: int) -> float:
         """Return the expected duration in seconds of a call that names some number of VMs."""
         terms = self._state.terms_of(step.job).advice
         return 0.0 if terms is None else (terms.decide_ms + terms.each_ms * count) / MS_PER_S
 
     def has_slow_calls(self, step: StepRow) -> bool:
         """Return whether capacity that stays idle during a call for a step is a noticeable loss."""
-        return self.cost(step, 1) >= SLOW_RENEWAL_S
+        return self.expected_call_s(step, 1) >= SLOW_RENEWAL_S
 
     def request_size(self, step: StepRow) -> int:
         """Return on how many VMs to request advice, so that enough are permitted and have capacity.
@@ -215,7 +218,7 @@
         and a second call would delay it as long again.
         """
         all_vms = len(self._state.vms)
-        if self.cost(step, all_vms) >= MIN_SPLIT_CALL_S:
+        if self.expected_call_s(step, all_vms) >= MIN_SPLIT_CALL_S:
             return all_vms
         share = self._good_share.get(step.job.record.terms.name, INITIAL_GOOD_SHARE)
         return max(MIN_VMS_REQUESTED, math.ceil(PLACES_PER_TASK * step.waiting / share))
@@ -250,7 +253,7 @@
             self._congested_until = self._state.now + CONGESTED_FOR_S
         # Placement repeats the requests that found no slot, if they are still needed.
         for step, _, _ in self._pending.values():
-            self._state.touch(step)
+            self._state.mark_for_placement(step)
         self._pending.clear()
         self._pending_demand.clear()
 
@@ -307,11 +310,11 @@
             del row.tickets[vm]
         if not row.tickets:
             return False
-        cost = self.cost(step, len(row.tickets))
-        if cost < SLOW_RENEWAL_S or not step.job.durable:
+        expected_call_s = self.expected_call_s(step, len(row.tickets))
+        if expected_call_s < SLOW_RENEWAL_S or not step.job.durable:
             return False
         first_expiry = min(ticket.until for ticket in row.tickets.values())
-        return first_expiry - TICKET_MARGIN_S < self._state.now + cost + RENEW_MARGIN_S
+        return first_expiry - TICKET_MARGIN_S < self._state.now + expected_call_s + RENEW_MARGIN_S
 
     def _free_slots(self) -> list[str]:
         now = self._state.now
@@ -329,7 +332,9 @@
         """Send a request over as many slots as are worthwhile; return whether a slot was free."""
         free = self._free_slots()
         reserved = len(self._slots) // QUICK_SLOT_DIVISOR
-        if not free or (self.cost(step, len(vms)) > SLOW_CALL_S and len(free) <= reserved):
+        if not free or (
+            self.expected_call_s(step, len(vms)) > SLOW_CALL_S and len(free) <= reserved
+        ):
             return False
         parts = min(self._part_count(step, len(vms)), max(1, (len(free) - reserved) // 2))
         for number, name in zip(range(parts), free, strict=False):
@@ -339,7 +344,11 @@
     def _part_count(self, step: StepRow, count: int) -> int:
         """Return over how many slots a request for some number of VMs is best divided."""
         terms = self._state.terms_of(step.job).advice
-        if terms is None or not terms.each_ms or self.cost(step, count) < MIN_SPLIT_CALL_S:
+        if (
+            terms is None
+            or not terms.each_ms
+            or self.expected_call_s(step, count) < MIN_SPLIT_CALL_S
+        ):
             return 1
         return max(1, math.ceil(count * terms.each_ms / (SPLIT_SHARE * terms.decide_ms + 1.0)))
 
@@ -348,17 +357,17 @@
         row = step.advice
         assert row is not None
         slot = self._slots[name]
-        cost = self.cost(step, len(vms))
+        expected_call_s = self.expected_call_s(step, len(vms))
         slot.step = step
         slot.overdue = False
         slot.vms = vms
         slot.share = share
         self._add_demand(slot, 1)
-        slot.busy_until = state.now + 2 * cost + CALL_SLACK_S
+        slot.busy_until = state.now + 2 * expected_call_s + CALL_SLACK_S
         if not row.calls_in_flight:
-            row.waiting_since = state.now
+            row.calls_sent_or_abandoned_at = state.now
         row.calls_in_flight += 1
-        state.emit(AskAdvice(name, step.key, vms, cost))
+        state.emit(AskAdvice(name, step.key, vms, expected_call_s))
 
     # -- Answers -----------------------------------------------------------------------------
 
@@ -388,7 +397,7 @@
                 row.denied_vms.add(vm)
                 row.tickets.pop(vm, None)
 
-    def failed(self, slot_name: str, step_key: str) -> None:
+    def call_failed(self, slot_name: str, step_key: str) -> None:
         """Record that a call got no usable answer; its slot is not used for a short time."""
         slot = self._slot_with_call(slot_name, step_key)
         if slot is None:
@@ -405,9 +414,9 @@
             return None
         return slot
 
-    def refused(self, step: StepRow, vm: str) -> None:
+    def ticket_refused(self, step: StepRow, vm: str) -> None:
         """Record that a VM refused a step's ticket."""
         row: AdviceRow | None = step.advice
         if row is not None and vm in row.tickets:
             row.tickets[vm].until = NEVER
-            self._state.touch(step)
+            self._state.mark_for_placement(step)
--- a/src/sablemount/jobs/systems/caps.py
+++ b/src/sablemount/jobs/systems/caps.py
@@ -24,7 +24,7 @@
         """The most urgent gang that waits for its organisation's cap, as its priority and its step,
         by organisation."""
 
-    def begin(self) -> None:
+    def begin_round(self) -> None:
         """Begin a placement round: drop the reservations of gangs that no longer wait."""
         open_steps = self._state.open_steps
         for name in [
--- a/src/sablemount/jobs/systems/held_back.py
+++ b/src/sablemount/jobs/systems/held_back.py
@@ -83,7 +83,7 @@
             return BlockingReason.RESERVED_FOR_STEP
         if not step.spec.charge.fits(row.free_capacity):
             return BlockingReason.FULL
-        if self._advice.unknown(step, row):
+        if self._advice.lacks_advice(step, row):
             return BlockingReason.NO_ADVICE
         if step.advice is not None and row.name not in step.advice.tickets:
             return BlockingReason.NOT_ALLOWED
--- a/src/sablemount/jobs/systems/lifecycle.py
+++ b/src/sablemount/jobs/systems/lifecycle.py
@@ -155,7 +155,7 @@
                 return
         step.opened_at = self._state.now
         self._state.open_steps[step.key] = step
-        self._state.touch(step)
+        self._state.mark_for_placement(step)
 
     def followers(self, step: StepRow) -> list[StepRow]:
         """Return the steps of the same repetition that depend on a step."""
--- a/src/sablemount/jobs/systems/pacing.py
+++ b/src/sablemount/jobs/systems/pacing.py
@@ -99,7 +99,7 @@
 
     # -- Answers -----------------------------------------------------------------------------
 
-    def failed(self, vm: str, task: str, number: int) -> None:
+    def throttle_failed(self, vm: str, task: str, number: int) -> None:
         """Record that a throttle request got no usable answer: it may or may not be in force."""
         row = self._state.vms.get(vm)
         run = None if row is None else row.runs.get((task, number))
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -83,7 +83,10 @@
             state.capacity_version += 1
         if self._wait_log_timer.due(state.now):
             self._log_waiting()
-        if state.capacity_version == state.placed_at_capacity_version and not state.touched_steps:
+        if (
+            state.capacity_version == state.placed_at_capacity_version
+            and not state.steps_marked_for_placement
+        ):
             return
         self._last_round_at = state.now
         if not self._tried:
@@ -91,16 +94,16 @@
         usable = self.usable_rows()
         self._max_free = _max_free_capacity(usable)
         self._isolation.begin_round(usable)
-        self._reservation.begin()
-        self._caps.begin()
+        self._reservation.begin_round()
+        self._caps.begin_round()
         before = set(self._tried)
         if self._round(usable):
             # A step that was tried in an earlier round and touched since is tried again.
-            state.touched_steps &= before & state.open_steps.keys()
+            state.steps_marked_for_placement &= before & state.open_steps.keys()
             self._tried.clear()
             state.placed_at_capacity_version = self._pass_capacity_version
         else:
-            state.touched_steps -= self._tried - before
+            state.steps_marked_for_placement -= self._tried - before
 
     @property
     def unfinished(self) -> bool:
@@ -123,7 +126,8 @@
             elif step.key in self._tried and self._evaluated > MAX_VM_EVALUATIONS // 2:
                 continue
             elif (
-                step.tried_at_capacity_version != current_version or step.key in state.touched_steps
+                step.tried_at_capacity_version != current_version
+                or step.key in state.steps_marked_for_placement
             ):
                 if self._evaluated > MAX_VM_EVALUATIONS:
                     return False
@@ -306,7 +310,7 @@
         unknown = [
             row
             for row in candidates
-            if self._advice.unknown(step, row) and charge.fits(row.info.capacity)
+            if self._advice.lacks_advice(step, row) and charge.fits(row.info.capacity)
         ]
         if not unknown:
             # A VM that is silent or avoided now may lack advice, and may be usable again at any
--- a/src/sablemount/jobs/systems/preemption.py
+++ b/src/sablemount/jobs/systems/preemption.py
@@ -234,8 +234,8 @@
     def _preempt(self, step: StepRow, offers: list[_Offer], loss: float) -> None:
         state = self._state
         names = sorted({offer.row.name for offer in offers})
-        cost = self._advice.cost(step, len(names))
-        until = state.now + state.settings.stop_time_s + 2 * cost + RESERVATION_MARGIN_S
+        expected_call_s = self._advice.expected_call_s(step, len(names))
+        until = state.now + state.settings.stop_time_s + 2 * expected_call_s + RESERVATION_MARGIN_S
         self._reserved_until[step.key] = until
         priority = state.terms_of(step.job).priority
         stopped = [run for offer in offers for run in offer.victims]
--- a/src/sablemount/jobs/systems/proofs.py
+++ b/src/sablemount/jobs/systems/proofs.py
@@ -78,7 +78,7 @@
             if self._advice.permits(step, row):
                 self._start(row, step, task)
                 return
-            if unadvised is None and self._advice.unknown(step, row):
+            if unadvised is None and self._advice.lacks_advice(step, row):
                 unadvised = step
         if unadvised is not None:
             self._advice.request(unadvised, [row.name])
--- a/src/sablemount/jobs/systems/reservation.py
+++ b/src/sablemount/jobs/systems/reservation.py
@@ -25,7 +25,7 @@
         self._reserved: dict[str, tuple[int, set[str]]] = {}
         """Priority and reserved VMs of the gangs that wait, by step."""
 
-    def begin(self) -> None:
+    def begin_round(self) -> None:
         """Begin a placement round: drop the reservations of gangs that no longer wait."""
         open_steps = self._state.open_steps
         for key in [key for key in self._reserved if key not in open_steps]:
--- a/src/sablemount/jobs/systems/speeds.py
+++ b/src/sablemount/jobs/systems/speeds.py
@@ -224,7 +224,7 @@
         step = None if row is None else row.steps.get((int(repetition), int(number)))
         return step is not None and step.open_tasks > 0
 
-    def of(self, row: VmRow) -> float:
+    def speed_of(self, row: VmRow) -> float:
         """Return a VM's speed; 0, the usual one, if it is not known."""
         return self._trusted.get(_key(row), 0.0)
 
@@ -245,7 +245,7 @@
         """Return the cost of each VM, by name, for a step that requires some speed."""
         if not self._state.speeds_uneven:
             return {row.name: 0.0 for row in rows}
-        return {row.name: _cost(required_speed, self.of(row)) for row in rows}
+        return {row.name: _cost(required_speed, self.speed_of(row)) for row in rows}
 
     def speed_groups(self, required_speed: float | None, rows: list[VmRow]) -> list[list[VmRow]]:
         """Return groups of VMs that are fast enough: the slow ones, the fast ones, and all.
@@ -253,13 +253,13 @@
         A gang is as slow as its slowest member, so a fast VM is wasted on it beside a slow one.
         """
         found = [row for row in rows if self.fast_enough(required_speed, row)]
-        slow = [row for row in found if self.of(row) < self._midpoint]
-        fast = [row for row in found if self.of(row) >= self._midpoint]
+        slow = [row for row in found if self.speed_of(row) < self._midpoint]
+        fast = [row for row in found if self.speed_of(row) >= self._midpoint]
         return [slow, fast, found] if slow and fast else [found]
 
     def fast_enough(self, required_speed: float | None, row: VmRow) -> bool:
         """Return whether a VM is fast enough for a step that requires some speed."""
-        return required_speed is None or self.of(row) >= required_speed
+        return required_speed is None or self.speed_of(row) >= required_speed
 
 
 def _cost(required_speed: float | None, speed: float) -> float:
--- a/src/sablemount/jobs/systems/vms.py
+++ b/src/sablemount/jobs/systems/vms.py
@@ -489,7 +489,7 @@
         self._log("VM in use according to its record", row)
         return row
 
-    def loaded(self) -> None:
+    def finish_loading(self) -> None:
         """Handle the end of loading: of incarnations that share an entry, the last one is up."""
         for row in sorted(self._state.vms.values(), key=lambda row: row.info.born):
             self._add(row)
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -223,7 +223,7 @@
     tickets: dict[str, Ticket] = field(default_factory=dict)
     denied_vms: set[str] = field(default_factory=set)
     calls_in_flight: int = 0
-    waiting_since: float = NEVER
+    calls_sent_or_abandoned_at: float = NEVER
     """When the first of the calls in flight was sent, or the last call was abandoned."""
     waited_s: float = 0.0
     """Seconds spent waiting for answers so far."""
@@ -233,7 +233,9 @@
 
     def total_wait_s(self, now: float) -> float:
         """Return the seconds spent waiting for answers, including the calls in flight."""
-        return self.waited_s + (now - self.waiting_since if self.calls_in_flight else 0.0)
+        return self.waited_s + (
+            now - self.calls_sent_or_abandoned_at if self.calls_in_flight else 0.0
+        )
 
 
 @dataclass(slots=True, eq=False)
--- a/tests/jobs/test_acks.py
+++ b/tests/jobs/test_acks.py
@@ -15,7 +15,7 @@
 from sablemount.jobs.actions import LaterIncarnation, RunReport, StartRun, VmReport
 from sablemount.jobs.model import StepSpec
 from sablemount.jobs.records import Record
-from sablemount.jobs.systems.acks import MAX_ACK_DELAY_S, MAX_REPORT_AGE_S
+from sablemount.jobs.systems.acks import MAX_ACK_DELAY_S, MAX_ACK_REPORT_AGE_S
 from sablemount.jobs.tables import VmRow
 from tests.emulator.loop import run
 from tests.jobs.rig import CORE, Rig, spec
@@ -37,7 +37,7 @@
 def test_an_acknowledgement_is_due_right_after_a_report() -> None:
     rig, row = _rig_with_completion()
     assert rig.scheduler.acks.due(row) == 1
-    rig.clock.time += MAX_REPORT_AGE_S + 0.01
+    rig.clock.time += MAX_ACK_REPORT_AGE_S + 0.01
     rig.scheduler.update_time()
     assert rig.scheduler.acks.due(row) == 0
     rig.report_all()
--- a/tests/jobs/test_advice.py
+++ b/tests/jobs/test_advice.py
@@ -56,7 +56,7 @@
 
 def test_a_part_that_fails_is_asked_for_again_and_the_others_count() -> None:
     rig, calls = _request(SLOW, slots=20)
-    rig.scheduler.advice.failed(calls[0].call_slot, calls[0].step)
+    rig.scheduler.advice.call_failed(calls[0].call_slot, calls[0].step)
     _answer(rig, calls[1], good=1)
     _answer(rig, calls[2], good=1)
     rig.wait(0.5)
--- a/tests/jobs/test_batches.py
+++ b/tests/jobs/test_batches.py
@@ -63,7 +63,7 @@
     row.last_seen_completion = 7
     batches = _batches(rig)
     assert len(batches) > 2
-    assert [batch.completions for batch in batches] == [{}] * (len(batches) - 1) + [{"w0": 7}]
+    assert [batch.last_completions for batch in batches] == [{}] * (len(batches) - 1) + [{"w0": 7}]
     rig.scheduler.batch_stored(batches[0])
     assert row.last_recorded_completion == 0
     for batch in batches[1:]:
--- a/tests/jobs/test_caps_unknown.py
+++ b/tests/jobs/test_caps_unknown.py
@@ -18,7 +18,7 @@
     job = JobRecord(QueueTerms("work", "pool"), spec, 0.0, 1, "rueda")
     scheduler = JobScheduler(JobSettings(), 2, LoopClock())
     scheduler.load([Record("j/a", encode(job))])
-    scheduler.caps.begin()
+    scheduler.caps.begin_round()
     return scheduler.caps.places(scheduler.state.jobs["a"].steps[(0, 0)])
 
 
--- a/tests/jobs/test_large_rounds.py
+++ b/tests/jobs/test_large_rounds.py
@@ -88,14 +88,14 @@
     for job in rig.scheduler.state.jobs.values():
         job.from_previous_leader = True
     evaluations = 0
-    unknown = rig.scheduler.advice.unknown
+    lacks_advice = rig.scheduler.advice.lacks_advice
 
     def count_call(step, row):  # type: ignore[no-untyped-def]
         nonlocal evaluations
         evaluations += 1
-        return unknown(step, row)
+        return lacks_advice(step, row)
 
-    monkeypatch.setattr(rig.scheduler.advice, "unknown", count_call)
+    monkeypatch.setattr(rig.scheduler.advice, "lacks_advice", count_call)
     rig.tick()
     assert evaluations < 2 * MAX_VM_EVALUATIONS
     while rig.scheduler.placement.unfinished:
--- a/tests/jobs/test_pacing.py
+++ b/tests/jobs/test_pacing.py
@@ -99,7 +99,7 @@
 def test_an_unanswered_request_is_repeated() -> None:
     shared = _SharedVm()
     (request,) = shared.report_tail(1.2 * TARGET_MS)
-    shared.rig.scheduler.throttling.failed(request.vm, request.task, request.run)
+    shared.rig.scheduler.throttling.throttle_failed(request.vm, request.task, request.run)
     assert len(shared.report_tail(0.7 * TARGET_MS)) == 1
 
 
--- a/tests/jobs/test_speeds.py
+++ b/tests/jobs/test_speeds.py
@@ -114,7 +114,7 @@
         return math.exp(sum(fast) / len(fast) - sum(slow) / len(slow))
 
     def _speed(self, number: int) -> float:
-        return self.speeds.of(self.rig.scheduler.state.vms[f"w{number}"])
+        return self.speeds.speed_of(self.rig.scheduler.state.vms[f"w{number}"])
 
 
 def _with_learned_speeds(deviation: float) -> _SimulatedRuns:
@@ -221,7 +221,7 @@
     later.tick(0.6)
     assert later.scheduler.state.speeds_uneven
     for name, row in later.scheduler.state.vms.items():
-        assert (later.scheduler.speeds.of(row) > 0) is (
+        assert (later.scheduler.speeds.speed_of(row) > 0) is (
             simulated._true_speeds[int(name[1:])] == FAST
         )
 
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -146,7 +146,7 @@
             return 409, {"reason": "fenced", "epoch": result.epoch}
         if isinstance(result, Unavailable):
             return 400, {"error": result.reason}
-        return 409, {"reason": "seq", "seq": result.wanted}
+        return 409, {"reason": "seq", "seq": result.expected}
 
     def _newest(self, topic: Topic, after: str) -> tuple[int, object]:
         log = self.store.topics[topic]
