--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -39,7 +39,7 @@
 from sablemount.jobs.systems.preemption import Preemption
 from sablemount.jobs.systems.proofs import Probes
 from sablemount.jobs.systems.reconcile import Reconcile
-from sablemount.jobs.systems.reservation import Reservation
+from sablemount.jobs.systems.reservation import GangReservations
 from sablemount.jobs.systems.speeds import Speeds
 from sablemount.jobs.systems.starts import Starts
 from sablemount.jobs.systems.vms import Vms
@@ -107,7 +107,7 @@
         self.vms = Vms(self.state, self.acks)
         self.reconcile = Reconcile(self.state, self.lifecycle, self.acks)
         self.advice = Advice(self.state)
-        self.reservation = Reservation(self.state)
+        self.gang_reservations = GangReservations(self.state)
         self.caps = Caps(self.state)
         self.journal = Journal(self.state, self.lifecycle)
         self.crashes = Crashes(self.state, self.lifecycle, self.journal.update_vm_record)
@@ -124,7 +124,7 @@
             self.state,
             self.vms,
             self.advice,
-            self.reservation,
+            self.gang_reservations,
             self.caps,
             self.starts,
             self.speeds,
--- a/src/sablemount/jobs/state.py
+++ b/src/sablemount/jobs/state.py
@@ -288,13 +288,13 @@
         self.open_steps[task.step.key] = task.step
         self.mark_for_placement(task.step)
 
-    def release_reserved(self, step: StepRow) -> None:
-        """Release the capacity that was reserved for a step."""
-        for name, count in step.reserved.items():
+    def release_ticket_reservations(self, step: StepRow) -> None:
+        """Release the capacity that was reserved while a step's tickets were requested."""
+        for name, count in step.awaiting_tickets.items():
             vm = self.vms.get(name)
             if vm is not None:
                 vm.free_capacity = vm.free_capacity.plus(step.spec.charge, count)
-        step.reserved.clear()
+        step.awaiting_tickets.clear()
 
     def orphan_run(self, run: RunRow) -> None:
         """Keep a run charged until it is stopped; one that was not requested is removed at once."""
--- a/src/sablemount/jobs/systems/caps.py
+++ b/src/sablemount/jobs/systems/caps.py
@@ -82,7 +82,7 @@
         busy = _reaches_share(self._state.usage.of(organisation.name), organisation.cap, BUSY_SHARE)
         return busy or self._state.now - step.ready_at < RESERVATION_WAIT_S
 
-    def release(self, step: StepRow) -> None:
+    def release_reservation(self, step: StepRow) -> None:
         """Drop a step's reservation, since it is about to be placed anew."""
         name = step.job.organisation
         if name in self._reserved and self._reserved[name][1] == step.key:
@@ -92,7 +92,7 @@
         """Return a step's organisation; ``None`` if it has none or was never configured."""
         return self._state.organisations.get(step.job.organisation)
 
-    def reserve(self, step: StepRow) -> None:
+    def reserve_for_gang(self, step: StepRow) -> None:
         """Reserve the rest of a cap for a step that has to wait for it, if the step is a gang.
 
         Otherwise less urgent steps of its organisation would take each bit of the cap as runs end.
--- a/src/sablemount/jobs/systems/held_back.py
+++ b/src/sablemount/jobs/systems/held_back.py
@@ -8,7 +8,7 @@
 
 from sablemount.jobs.state import State
 from sablemount.jobs.systems.advice import Advice
-from sablemount.jobs.systems.reservation import Reservation
+from sablemount.jobs.systems.reservation import GangReservations
 from sablemount.jobs.systems.trials import Isolation
 from sablemount.jobs.systems.vms import Vms
 from sablemount.jobs.tables import StepRow, TaskRow, TaskState, VmRow
@@ -45,19 +45,24 @@
     """Determines what blocks a waiting step."""
 
     def __init__(
-        self, state: State, vms: Vms, advice: Advice, reservation: Reservation, isolation: Isolation
+        self,
+        state: State,
+        vms: Vms,
+        advice: Advice,
+        gang_reservations: GangReservations,
+        isolation: Isolation,
     ) -> None:
         self._state = state
         self._vms = vms
         self._advice = advice
-        self._reservation = reservation
+        self._gang_reservations = gang_reservations
         self._isolation = isolation
 
     def count_reasons(self, step: StepRow) -> dict[str, int]:
         """Return the number of VMs in a step's pool by blocking reason."""
         pool = self._state.terms_of(step.job).pool
         rows = [row for row in self._state.vms.values() if row.info.pool == pool]
-        unreserved = {row.name for row in self._reservation.available_to(step, rows)}
+        unreserved = {row.name for row in self._gang_reservations.available_to(step, rows)}
         task = next((task for task in step.tasks if task.state is TaskState.WAITING), None)
         found = Counter(self._reason(step, task, row, row.name in unreserved) for row in rows)
         return {reason.value: found[reason] for reason in BlockingReason if found[reason]}
@@ -79,7 +84,7 @@
             return BlockingReason.UNVERIFIED if row.unverified else BlockingReason.UNUSABLE
         if row.isolated_job not in ("", step.job.name):
             return BlockingReason.ISOLATED
-        if row.reserved_against(step, self._state.terms_of(step.job).priority, now):
+        if row.is_reserved_against(step, self._state.terms_of(step.job).priority, now):
             return BlockingReason.RESERVED_FOR_STEP
         if not step.spec.charge.fits(row.free_capacity):
             return BlockingReason.FULL
--- a/src/sablemount/jobs/systems/lifecycle.py
+++ b/src/sablemount/jobs/systems/lifecycle.py
@@ -210,7 +210,7 @@
         state.open_jobs.pop(job.name, None)
         for step in job.steps.values():
             state.open_steps.pop(step.key, None)
-            state.release_reserved(step)
+            state.release_ticket_reservations(step)
             for task in step.tasks:
                 for run in list(task.runs):
                     state.orphan_run(run)
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -13,7 +13,7 @@
 from sablemount.jobs.systems.choice import Assignment, Choice
 from sablemount.jobs.systems.every import IntervalTimer
 from sablemount.jobs.systems.held_back import BlockingAnalysis
-from sablemount.jobs.systems.reservation import Reservation
+from sablemount.jobs.systems.reservation import GangReservations
 from sablemount.jobs.systems.speeds import Speeds
 from sablemount.jobs.systems.starts import Starts
 from sablemount.jobs.systems.trials import Isolation
@@ -45,21 +45,21 @@
         state: State,
         vms: Vms,
         advice: Advice,
-        reservation: Reservation,
+        gang_reservations: GangReservations,
         caps: Caps,
         starts: Starts,
         speeds: Speeds,
     ) -> None:
         self._state = state
         self._caps = caps
-        self._reservation = reservation
+        self._gang_reservations = gang_reservations
         self._vms = vms
         self._advice = advice
         self._starts = starts
         self._speeds = speeds
         self._isolation = Isolation(state)
         self._choice = Choice(state, advice, self._isolation, speeds)
-        self._blocking = BlockingAnalysis(state, vms, advice, reservation, self._isolation)
+        self._blocking = BlockingAnalysis(state, vms, advice, gang_reservations, self._isolation)
         self._wait_log_timer = IntervalTimer(LOG_WAIT_INTERVAL_S)
         self._last_round_at = -RETRY_INTERVAL_S
         self._max_free = Shape()
@@ -94,7 +94,7 @@
         usable = self.usable_rows()
         self._max_free = _max_free_capacity(usable)
         self._isolation.begin_round(usable)
-        self._reservation.begin_round()
+        self._gang_reservations.begin_round()
         self._caps.begin_round()
         before = set(self._tried)
         if self._round(usable):
@@ -155,19 +155,19 @@
         return not job.from_previous_leader or self._state.previous_runs_settled
 
     def _place(self, step: StepRow, usable: list[VmRow]) -> None:
-        if step.reserved and step.advice is not None and step.advice.calls_in_flight:
+        if step.awaiting_tickets and step.advice is not None and step.advice.calls_in_flight:
             return
-        self._release_reserved(step)
+        self._release_ticket_reservations(step)
         step.tried_at_capacity_version = self._state.capacity_version
         if not self.ready(step):
             self._request_unknown(step, usable)
             return
-        self._reservation.release(step)
-        self._caps.release(step)
+        self._gang_reservations.release(step)
+        self._caps.release_reservation(step)
         places = self._caps.places(step)
         step.update_capped(places < step.waiting, self._state.now)
         if places < step.waiting:
-            self._caps.reserve(step)
+            self._caps.reserve_for_gang(step)
             if step.spec.gang or not places:
                 return
         tasks = [task for task in step.tasks if self.startable(task)][:places]
@@ -179,18 +179,18 @@
         rows = self.allowed(step, usable)
         self._evaluated += len(usable)
         self._isolation.isolate_for(step, rows)
-        chosen = self._choice.assign(step, tasks, self._reservation.available_to(step, rows))
+        chosen = self._choice.assign(step, tasks, self._gang_reservations.available_to(step, rows))
         if len(chosen) < len(tasks):
             self._max_free = _max_free_capacity(usable)
             self._request_unknown(step, usable)
             if step.spec.gang:
-                self._reservation.reserve(step, rows)
+                self._gang_reservations.reserve_vms(step, rows)
                 return
         self._start_or_request(step, chosen)
 
-    def _release_reserved(self, step: StepRow) -> None:
-        names = list(step.reserved)
-        self._state.release_reserved(step)
+    def _release_ticket_reservations(self, step: StepRow) -> None:
+        names = list(step.awaiting_tickets)
+        self._state.release_ticket_reservations(step)
         rows = (self._state.vms.get(name) for name in names)
         self._max_free = _max_free_capacity(
             [row for row in rows if row is not None], self._max_free
@@ -224,7 +224,7 @@
             row
             for row in self._candidates(step, usable)
             if (permitted is None or row.name in permitted)
-            and not row.reserved_against(step, priority, now)
+            and not row.is_reserved_against(step, priority, now)
             and row.isolated_job in ("", step.job.name)
         ]
 
@@ -283,7 +283,7 @@
                 "ready": self.ready(step),
                 "noting": state.store_answers,
                 "crashes": max(len(task.crashes) for task in step.tasks),
-                "booked": len(step.reserved),
+                "booked": len(step.awaiting_tickets),
                 "asking": 0 if advice is None else advice.calls_in_flight,
                 "unasked_for": round(self._advice.slot_wait(step), 3),
                 "good": -1 if advice is None else len(advice.tickets),
@@ -375,7 +375,7 @@
     def _reserve(self, step: StepRow, chosen: Assignment) -> None:
         """Reserve the capacity of an assignment until its tickets have arrived."""
         for _, row in chosen:
-            step.reserved[row.name] = step.reserved.get(row.name, 0) + 1
+            step.awaiting_tickets[row.name] = step.awaiting_tickets.get(row.name, 0) + 1
             row.free_capacity = row.free_capacity.plus(step.spec.charge, -1)
 
     # -- Starts ------------------------------------------------------------------------------
--- a/src/sablemount/jobs/systems/preemption.py
+++ b/src/sablemount/jobs/systems/preemption.py
@@ -123,9 +123,9 @@
         for key in expired:
             del self._reserved_until[key]
         for row in self._state.vms.values():
-            if row.reserved_for in expired:
-                row.reserved_for = ""
-                row.reserved_until = NEVER
+            if row.preemptor_step in expired:
+                row.preemptor_step = ""
+                row.reserved_for_preemptor_until = NEVER
 
     def _is_pending(self, key: str, until: float) -> bool:
         """Return whether capacity is being freed for a step that has not taken it yet."""
@@ -134,7 +134,7 @@
 
     def _is_due(self, step: StepRow) -> bool:
         """Return whether a step has waited long enough; a wait for tickets does not count."""
-        if not step.waiting or step.reserved or not self._placement.ready(step):
+        if not step.waiting or step.awaiting_tickets or not self._placement.ready(step):
             return False
         if step.tried_at_capacity_version < 0:
             # Placement has not tried the step yet, and may find capacity without preemption.
@@ -240,11 +240,11 @@
         priority = state.terms_of(step.job).priority
         stopped = [run for offer in offers for run in offer.victims]
         for offer in offers:
-            offer.row.reserved_priority = priority
-            offer.row.reserved_until = until
+            offer.row.preemptor_priority = priority
+            offer.row.reserved_for_preemptor_until = until
             # Part of a gang's capacity is of no use to it, and other gangs would take such parts in
             # turn. So it is reserved for this gang alone.
-            offer.row.reserved_for = step.key if step.spec.gang else ""
+            offer.row.preemptor_step = step.key if step.spec.gang else ""
         for run in stopped:
             self._reconcile.stop(run)
         if step.advice is not None:
--- a/src/sablemount/jobs/systems/reservation.py
+++ b/src/sablemount/jobs/systems/reservation.py
@@ -8,7 +8,7 @@
 from sablemount.jobs.state import State
 from sablemount.jobs.tables import StepRow, VmRow
 
-__all__ = ["Reservation"]
+__all__ = ["GangReservations"]
 
 MAX_RESERVED_SHARE = 0.34
 """Maximum share of all VMs that is reserved for gangs."""
@@ -17,7 +17,7 @@
 may use few VMs could be excluded from all of them."""
 
 
-class Reservation:
+class GangReservations:
     """Keeps track of the VMs that are reserved for waiting gangs."""
 
     def __init__(self, state: State) -> None:
@@ -35,7 +35,7 @@
         """Drop a step's reservation, since it is about to be placed anew."""
         self._reserved.pop(step.key, None)
 
-    def reserve(self, step: StepRow, rows: list[VmRow]) -> None:
+    def reserve_vms(self, step: StepRow, rows: list[VmRow]) -> None:
         """Reserve the emptiest of the VMs that a gang may use, since it found no capacity there."""
         charge = step.spec.charge
         if sum(charge.copies_in(row.info.capacity) for row in rows) < step.waiting:
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -255,7 +255,7 @@
     """Number of tasks that wait for a start."""
     opened_at: float = NEVER
     advice: AdviceRow | None = None
-    reserved: dict[str, int] = field(default_factory=dict)
+    awaiting_tickets: dict[str, int] = field(default_factory=dict)
     """Number of tasks by VM for which capacity is reserved while tickets are requested."""
     wait_logged_at: float = NEVER
     """When it was last logged that the step waits."""
@@ -413,11 +413,12 @@
     progress."""
     failed_jobs: set[str] = field(default_factory=set)
     """Jobs of which a task has failed there since any task last succeeded there."""
-    reserved_priority: int = 0
-    """Priority for which its capacity is reserved."""
-    reserved_for: str = ""
-    """Only step that its capacity is reserved for; empty if any of that priority may use it."""
-    reserved_until: float = NEVER
+    preemptor_priority: int = 0
+    """Priority for which preemption has reserved its capacity."""
+    preemptor_step: str = ""
+    """Only step that preemption has reserved its capacity for; empty if any of that priority may
+    use it."""
+    reserved_for_preemptor_until: float = NEVER
     """Until when its capacity is reserved for that step, or for work of that priority or more
     urgent work."""
     quarantines: int = 0
@@ -443,11 +444,11 @@
         """Return the age of its last report in seconds; ``None`` if it never reported."""
         return round(now - self.last_report_at, 3) if self.last_report_at > 0 else None
 
-    def reserved_against(self, step: "StepRow", priority: int, now: float) -> bool:
-        """Return whether its capacity is reserved against a step of some priority."""
-        if self.reserved_until <= now or priority < self.reserved_priority:
+    def is_reserved_against(self, step: "StepRow", priority: int, now: float) -> bool:
+        """Return whether preemption has reserved its capacity against a step of some priority."""
+        if self.reserved_for_preemptor_until <= now or priority < self.preemptor_priority:
             return False
-        return priority > self.reserved_priority or self.reserved_for not in ("", step.key)
+        return priority > self.preemptor_priority or self.preemptor_step not in ("", step.key)
 
     def min_clock_ms(self, now: float) -> float:
         """Return the lowest value in ms that the VM's clock can show now."""
--- a/tests/jobs/test_caps.py
+++ b/tests/jobs/test_caps.py
@@ -281,7 +281,7 @@
         rig.tick(0.1)
     assert rig.stopped() == []
     rows = rig.scheduler.state.vms.values()
-    assert all(row.reserved_until < rig.clock.time for row in rows)
+    assert all(row.reserved_for_preemptor_until < rig.clock.time for row in rows)
 
 
 # -- Jobs beyond the cap ---------------------------------------------------------------------
--- a/tests/jobs/test_making_room.py
+++ b/tests/jobs/test_making_room.py
@@ -101,7 +101,7 @@
     for _ in range(5):
         rig.tick(0.05)
     vms = rig.scheduler.state.vms
-    assert vms["w1"].reserved_until < rig.clock.time
+    assert vms["w1"].reserved_for_preemptor_until < rig.clock.time
     calm = rig.accept("calm", spec(StepSpec(1, HALF)), CHEAP)
     rig.tick()
     assert [run.vm for task in calm.steps[(0, 0)].tasks for run in task.runs] == ["w1"]
