--- a/src/sablemount/control/callers.py
+++ b/src/sablemount/control/callers.py
@@ -171,9 +171,9 @@
         if job is None:
             return self._no_job()
         self._wake()
-        if job.visible_state is not JobState.CANCELLED and not job.visible_state.final:
+        if job.visible_state is not JobState.CANCELLED and not job.visible_state.is_final:
             await asyncio.wait([self._commits.when_recorded()], timeout=ACCEPT_TIMEOUT_S)
-        if not job.visible_state.final:
+        if not job.visible_state.is_final:
             return self._unknown_outcome()
         _logger.info("job cancelled", extra={"job": name, "state": job.visible_state.name.lower()})
         return CallerReply(Outcome.DONE, state=job.visible_state.name.lower())
--- a/src/sablemount/control/commit_loop.py
+++ b/src/sablemount/control/commit_loop.py
@@ -97,7 +97,7 @@
         finally:
             # On failure, such as fencing by a later leader, the waiters are cancelled.
             _cancel(waiters)
-        if self._scheduler.journal.pending():
+        if self._scheduler.journal.has_pending():
             self.request_commit()
 
     def _earliest_answer_at(self) -> float:
@@ -108,7 +108,7 @@
     def _pending_batches(self) -> list[Batch]:
         """Return all pending records as batches; once these are stored, the waiters can go on."""
         batches = []
-        while self._scheduler.journal.pending():
+        while self._scheduler.journal.has_pending():
             batches.append(self._scheduler.next_batch())
         return batches
 
--- a/src/sablemount/control/configuration_feed.py
+++ b/src/sablemount/control/configuration_feed.py
@@ -332,7 +332,7 @@
             if reply.offset:
                 return False
             transfer = self._start_transfer(reply, asked_at, source)
-        if not transfer.complete:
+        if not transfer.is_complete:
             self._notify_waiters()
             return True
         self._complete_transfer(transfer, source)
--- a/src/sablemount/control/configuration_parts.py
+++ b/src/sablemount/control/configuration_parts.py
@@ -100,7 +100,7 @@
         return len(self._data)
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether all parts have been received."""
         return len(self._data) >= self.size
 
--- a/src/sablemount/control/election.py
+++ b/src/sablemount/control/election.py
@@ -32,7 +32,7 @@
 __all__ = ["Election"]
 
 LEADER_KEY = "leader"
-VIEW_MAX_AGE_S = 0.5
+MAX_VIEW_AGE_S = 0.5
 """A member that has heard the leader within this many seconds objects to a claim."""
 CLAIM_TIMEOUT_S = 1.0
 """Seconds that one attempt to claim, or to read the leader topic, waits for its answer."""
@@ -417,4 +417,4 @@
     """Return whether a member still hears the leader of an epoch, or knows a later one."""
     if view.epoch > epoch:
         return True
-    return view.epoch == epoch and view.linked and view.heard_age < VIEW_MAX_AGE_S
+    return view.epoch == epoch and view.linked and view.heard_age < MAX_VIEW_AGE_S
--- a/src/sablemount/control/leader.py
+++ b/src/sablemount/control/leader.py
@@ -289,9 +289,9 @@
             for action in self.scheduler.tick(can_record, self._confirmed_at):
                 self._execute(action)
             self.vm_calls.poll_new_vms()
-        if self.scheduler.journal.pending():
+        if self.scheduler.journal.has_pending():
             self.commit_loop.request_commit()
-        if self.scheduler.placement.unfinished:
+        if self.scheduler.placement.has_untried_steps:
             self.wake()
 
     def _update_members(self) -> None:
--- a/src/sablemount/control/preload.py
+++ b/src/sablemount/control/preload.py
@@ -25,7 +25,7 @@
 """Seconds without any data after which the read of a page, or of the tail, is abandoned."""
 TAIL_TIMEOUT_S = 30.0
 """Seconds that the read of the tail may take in total."""
-MAX_AGE_S = 3.0
+MAX_PRELOAD_AGE_S = 3.0
 """Seconds after their read for which pages are worth completing: a change of leader in a slow
 store. The time that the read itself took is not counted, as it grows with the persistent state."""
 
@@ -45,7 +45,7 @@
 
     def __init__(self, store: Store) -> None:
         self._store = store
-        self._read_at = -MAX_AGE_S
+        self._read_at = -MAX_PRELOAD_AGE_S
         """When the read finished (local time)."""
         self._task: asyncio.Task[JobsSnapshot | None] | None = None
 
@@ -77,7 +77,7 @@
             or preload_task.exception() is not None
             or preload_task.result() is None
         )
-        return None if failed or monotonic() - self._read_at >= MAX_AGE_S else preload_task
+        return None if failed or monotonic() - self._read_at >= MAX_PRELOAD_AGE_S else preload_task
 
 
 async def load_records(
--- a/src/sablemount/control/vm_calls.py
+++ b/src/sablemount/control/vm_calls.py
@@ -169,7 +169,7 @@
         leased = known and not silent and not row.unverified
         until = scheduler.vms.extend_lease(row) if leased else 0
         # Only one poll at a time acknowledges completions, so that its answer can be matched.
-        acked = 0 if at_once else scheduler.acks.due(row)
+        acked = 0 if at_once else scheduler.acks.due_number(row)
         wait = self._wait(row, acked) if known and not silent and not at_once else 0.0
         if acked:
             # If the poll reaches the VM's next incarnation, it must not extend the leases of the
@@ -237,7 +237,9 @@
         self._scheduler.vm_reported(report)
         self._wake()
         if row.last_seen_completion <= row.last_recorded_completion:
-            if self._scheduler.acks.pending(row) and not self._scheduler.acks.due(row):
+            if self._scheduler.acks.has_unacknowledged(row) and not self._scheduler.acks.due_number(
+                row
+            ):
                 # A request to the VM is in flight; the next report shows its outcome.
                 late = self._scheduler.acks.start_may_arrive_late(row)
                 await asyncio.sleep(UNANSWERED_PAUSE_S if late else UNSETTLED_PAUSE_S)
--- a/src/sablemount/jobs/journal.py
+++ b/src/sablemount/jobs/journal.py
@@ -94,7 +94,7 @@
         """Drop the record of an ended job."""
         self._dropped.append(Record(PROGRESS_PREFIX + name))
 
-    def pending(self) -> bool:
+    def has_pending(self) -> bool:
         """Return whether there is something to append."""
         state = self._state
         if self._accepting or self._vms or state.dirty_jobs or self._recording:
@@ -194,7 +194,7 @@
             name, job = next(iter(state.dirty_jobs.items()))
             progress = self._lifecycle.progress(job)
             records = [progress_record(name, progress, state.settings.record_bytes)]
-            if job.state.final:
+            if job.state.is_final:
                 records.append(Record(JOB_PREFIX + name))
             if not builder.accepts(records):
                 return
@@ -233,10 +233,10 @@
 
     def _show_state(self, name: str, recorded: JobState) -> None:
         job = self._state.jobs.get(name)
-        if job is None or job.visible_state.final:
+        if job is None or job.visible_state.is_final:
             return
         job.visible_state = recorded
-        if recorded.final:
+        if recorded.is_final:
             log_job_end(self._state.logger, job, self._state.now, self._state.wall_ms)
             job.run_completions.clear()
             # The payload and the tasks are no longer needed; the shapes are, for runs that are
--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -217,7 +217,7 @@
             if stored is not None:
                 self.crashes.restore(row, stored)
         for name, ended in progress.items():
-            if JobState(ended.state).final:
+            if JobState(ended.state).is_final:
                 self.lifecycle.restore_ended(name, ended)
         # An incarnation that another one has followed has crashed, which counts for the restored
         # jobs.
--- a/src/sablemount/jobs/state.py
+++ b/src/sablemount/jobs/state.py
@@ -220,7 +220,7 @@
     def keep_completion(self, run: RunRow, outcome: str) -> None:
         """Keep how a run ended for the log line of its job's end."""
         job = self.jobs.get(job_name_of(run.task))
-        if job is None or job.visible_state.final or run.completion_kept:
+        if job is None or job.visible_state.is_final or run.completion_kept:
             return
         run.completion_kept = True
         if len(job.run_completions) >= MAX_KEPT_COMPLETIONS:
--- a/src/sablemount/jobs/systems/acks.py
+++ b/src/sablemount/jobs/systems/acks.py
@@ -30,7 +30,7 @@
     def __init__(self, state: State) -> None:
         self._state = state
 
-    def pending(self, row: VmRow) -> bool:
+    def has_unacknowledged(self, row: VmRow) -> bool:
         """Return whether the store has completions that are not acknowledged to the VM yet."""
         if row.last_recorded_completion <= row.last_acknowledged_completion:
             row.unacknowledged_since = None
@@ -39,12 +39,12 @@
             row.unacknowledged_since = self._state.now
         return True
 
-    def due(self, row: VmRow) -> int:
+    def due_number(self, row: VmRow) -> int:
         """Return the number that a poll may acknowledge now; 0 if none."""
         recent = self._state.now - row.last_report_at <= MAX_ACK_REPORT_AGE_S
         return (
             row.last_recorded_completion
-            if self.pending(row) and recent and self._no_start_in_flight(row)
+            if self.has_unacknowledged(row) and recent and self._no_start_in_flight(row)
             else 0
         )
 
--- a/src/sablemount/jobs/systems/advice.py
+++ b/src/sablemount/jobs/systems/advice.py
@@ -277,11 +277,11 @@
         return now - self._waiting_since.get(key, now) >= OVERDUE_AFTER_S
 
     @property
-    def congested(self) -> bool:
+    def is_congested(self) -> bool:
         """Whether some request has found no free slot recently."""
         return self._state.now < self._congested_until
 
-    def slot_wait(self, step: StepRow) -> float:
+    def slot_wait_s(self, step: StepRow) -> float:
         """Return the seconds for which a step's request has found no free slot."""
         return self._state.now - self._waiting_since.get(step.key, self._state.now)
 
--- a/src/sablemount/jobs/systems/crashes.py
+++ b/src/sablemount/jobs/systems/crashes.py
@@ -165,7 +165,7 @@
 
     def _fail(self, task: TaskRow) -> None:
         job = task.step.job
-        if job.state.final:
+        if job.state.is_final:
             return
         self._state.logger.info(
             "job failed",
--- a/src/sablemount/jobs/systems/held_back.py
+++ b/src/sablemount/jobs/systems/held_back.py
@@ -80,7 +80,7 @@
             return BlockingReason.SILENT
         if not self._vms.is_capacity_known(row):
             return BlockingReason.CAPACITY_UNKNOWN
-        if not self._vms.usable(row):
+        if not self._vms.is_usable(row):
             return BlockingReason.UNVERIFIED if row.unverified else BlockingReason.UNUSABLE
         if row.isolated_job not in ("", step.job.name):
             return BlockingReason.ISOLATED
--- a/src/sablemount/jobs/systems/lifecycle.py
+++ b/src/sablemount/jobs/systems/lifecycle.py
@@ -87,7 +87,7 @@
     def _apply_progress(self, job: JobRow, progress: Progress) -> None:
         job.state = JobState(progress.state)
         job.begun = job.state is not JobState.PENDING
-        if job.state.final:
+        if job.state.is_final:
             self._close(job)
             job.visible_state = job.state
             job.ended_ms = progress.ended_ms
@@ -117,7 +117,7 @@
         """Open the repetitions that are due."""
         for job in list(self._jobs_with_due_times.values()):
             self._open_repetitions(job)
-            if job.state.final or job.next_repetition >= job.record.spec.times:
+            if job.state.is_final or job.next_repetition >= job.record.spec.times:
                 del self._jobs_with_due_times[job.name]
 
     def _open_repetitions(self, job: JobRow) -> None:
@@ -193,7 +193,7 @@
 
     def end(self, job: JobRow, final: JobState) -> None:
         """End a job; its runs are to be stopped."""
-        if job.state.final:
+        if job.state.is_final:
             return
         job.state = final
         job.ended_ms = self._state.wall_ms
@@ -224,7 +224,7 @@
 
     def progress(self, job: JobRow) -> Progress:
         """Return what is to be recorded of a job."""
-        if job.state.final:
+        if job.state.is_final:
             return Progress(int(job.state), {}, job.ended_ms, job.organisation, job.public)
         steps = {}
         for (repetition, number), step in job.steps.items():
@@ -243,7 +243,7 @@
         old = [
             job
             for job in self._state.jobs.values()
-            if job.state.final and job.visible_state.final and job.ended_ms < cutoff
+            if job.state.is_final and job.visible_state.is_final and job.ended_ms < cutoff
         ]
         for job in old:
             del self._state.jobs[job.name]
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -106,7 +106,7 @@
             state.steps_marked_for_placement -= self._tried - before
 
     @property
-    def unfinished(self) -> bool:
+    def has_untried_steps(self) -> bool:
         """Whether some steps were left to the next round."""
         return bool(self._tried)
 
@@ -144,9 +144,9 @@
 
     def usable_rows(self) -> list[VmRow]:
         """Return the VMs that may get new work at all."""
-        return [row for row in self._state.vms.values() if self._vms.usable(row)]
+        return [row for row in self._state.vms.values() if self._vms.is_usable(row)]
 
-    def ready(self, step: StepRow) -> bool:
+    def is_ready(self, step: StepRow) -> bool:
         """Return whether a step may be started at all."""
         job = step.job
         if not job.durable or _gang_may_run(step):
@@ -159,7 +159,7 @@
             return
         self._release_ticket_reservations(step)
         step.tried_at_capacity_version = self._state.capacity_version
-        if not self.ready(step):
+        if not self.is_ready(step):
             self._request_unknown(step, usable)
             return
         self._gang_reservations.release(step)
@@ -170,13 +170,13 @@
             self._caps.reserve_for_gang(step)
             if step.spec.gang or not places:
                 return
-        tasks = [task for task in step.tasks if self.startable(task)][:places]
+        tasks = [task for task in step.tasks if self.is_startable(task)][:places]
         if len(tasks) < step.waiting and (step.spec.gang or not tasks):
             return
         if self._fits_nowhere(step):
             self._request_unknown(step, usable)
             return
-        rows = self.allowed(step, usable)
+        rows = self.allowed_rows(step, usable)
         self._evaluated += len(usable)
         self._isolation.isolate_for(step, rows)
         chosen = self._choice.assign(step, tasks, self._gang_reservations.available_to(step, rows))
@@ -206,7 +206,7 @@
         exhaustive = step.spec.gang or step.job.name in self._state.suspected_jobs
         return not exhaustive and not step.spec.charge.fits(self._max_free)
 
-    def startable(self, task: TaskRow) -> bool:
+    def is_startable(self, task: TaskRow) -> bool:
         """Return whether a waiting task may be started now.
 
         While the store does not answer, tasks whose start has to be recorded first may not.
@@ -215,7 +215,7 @@
             self._state.store_answers or not task.must_record_first
         )
 
-    def allowed(self, step: StepRow, usable: list[VmRow]) -> list[VmRow]:
+    def allowed_rows(self, step: StepRow, usable: list[VmRow]) -> list[VmRow]:
         """Return the VMs on which a step may run, whether they have free capacity or not."""
         now = self._state.now
         priority = self._state.terms_of(step.job).priority
@@ -280,12 +280,12 @@
                 "step": step.key,
                 "waits": step.waiting,
                 "of": step.open_tasks,
-                "ready": self.ready(step),
+                "ready": self.is_ready(step),
                 "noting": state.store_answers,
                 "crashes": max(len(task.crashes) for task in step.tasks),
                 "booked": len(step.awaiting_tickets),
                 "asking": 0 if advice is None else advice.calls_in_flight,
-                "unasked_for": round(self._advice.slot_wait(step), 3),
+                "unasked_for": round(self._advice.slot_wait_s(step), 3),
                 "good": -1 if advice is None else len(advice.tickets),
                 "bad": -1 if advice is None else len(advice.denied_vms),
                 "held": self._blocking.count_reasons(step),
@@ -324,7 +324,7 @@
         required_speed = self._speeds.required_speed(step)
         unknown.sort(
             key=lambda row: (
-                not self._speeds.fast_enough(required_speed, row),
+                not self._speeds.is_fast_enough(required_speed, row),
                 -row.free_capacity.cores,
             )
         )
@@ -342,7 +342,7 @@
         """
         if row.isolated_job not in ("", step.job.name):
             return False
-        if self._advice.has_slow_calls(step) or not self._advice.congested:
+        if self._advice.has_slow_calls(step) or not self._advice.is_congested:
             return True
         if not step.spec.charge.fits(row.free_capacity):
             return False
--- a/src/sablemount/jobs/systems/preemption.py
+++ b/src/sablemount/jobs/systems/preemption.py
@@ -106,7 +106,7 @@
                 usable = self._placement.usable_rows()
             evaluated += len(usable)
             self._tried.add(step.key)
-            self._preempt_for(step, self._placement.allowed(step, usable))
+            self._preempt_for(step, self._placement.allowed_rows(step, usable))
         self._tried.clear()
 
     def _max_concurrent_steps(self) -> int:
@@ -134,7 +134,7 @@
 
     def _is_due(self, step: StepRow) -> bool:
         """Return whether a step has waited long enough; a wait for tickets does not count."""
-        if not step.waiting or step.awaiting_tickets or not self._placement.ready(step):
+        if not step.waiting or step.awaiting_tickets or not self._placement.is_ready(step):
             return False
         if step.tried_at_capacity_version < 0:
             # Placement has not tried the step yet, and may find capacity without preemption.
@@ -145,8 +145,8 @@
             # Isolated tasks wait for their own VM, so that capacity on another is of no use to
             # them.
             return False
-        max_wait = min(MAX_WAIT_S, WAIT_SHARE * self._urgency.spare(step))
-        return self._urgency.waited(step) > max_wait
+        max_wait = min(MAX_WAIT_S, WAIT_SHARE * self._urgency.spare_s(step))
+        return self._urgency.waited_s(step) > max_wait
 
     # -- Choice of runs ----------------------------------------------------------------------
 
--- a/src/sablemount/jobs/systems/proofs.py
+++ b/src/sablemount/jobs/systems/proofs.py
@@ -65,7 +65,7 @@
 
     def _is_suitable(self, step: StepRow) -> bool:
         spec = step.spec
-        if spec.lasting or spec.may_miss or not step.waiting or not self._placement.ready(step):
+        if spec.lasting or spec.may_miss or not step.waiting or not self._placement.is_ready(step):
             return False
         return self._caps.places(step) >= (step.waiting if spec.gang else 1)
 
@@ -89,11 +89,11 @@
             row.free_capacity
         ):
             return None
-        if step.spec.gang and not self._placement.ready(step):
+        if step.spec.gang and not self._placement.is_ready(step):
             # A member of the gang probes another VM; several members in one run would count as a
             # gang.
             return None
-        return next((task for task in step.tasks if self._placement.startable(task)), None)
+        return next((task for task in step.tasks if self._placement.is_startable(task)), None)
 
     def _start(self, row: VmRow, step: StepRow, task: TaskRow) -> None:
         row.probes += 1
--- a/src/sablemount/jobs/systems/speeds.py
+++ b/src/sablemount/jobs/systems/speeds.py
@@ -252,12 +252,12 @@
 
         A gang is as slow as its slowest member, so a fast VM is wasted on it beside a slow one.
         """
-        found = [row for row in rows if self.fast_enough(required_speed, row)]
+        found = [row for row in rows if self.is_fast_enough(required_speed, row)]
         slow = [row for row in found if self.speed_of(row) < self._midpoint]
         fast = [row for row in found if self.speed_of(row) >= self._midpoint]
         return [slow, fast, found] if slow and fast else [found]
 
-    def fast_enough(self, required_speed: float | None, row: VmRow) -> bool:
+    def is_fast_enough(self, required_speed: float | None, row: VmRow) -> bool:
         """Return whether a VM is fast enough for a step that requires some speed."""
         return required_speed is None or self.speed_of(row) >= required_speed
 
--- a/src/sablemount/jobs/systems/starts.py
+++ b/src/sablemount/jobs/systems/starts.py
@@ -169,7 +169,7 @@
             is_current
             and run.recorded
             and may_use_vm
-            and (run.is_probe or self._vms.usable(row))
+            and (run.is_probe or self._vms.is_usable(row))
             and self._advice.permits(step, row)
         )
 
--- a/src/sablemount/jobs/systems/urgency.py
+++ b/src/sablemount/jobs/systems/urgency.py
@@ -20,15 +20,15 @@
     def __init__(self, state: State) -> None:
         self._state = state
 
-    def waited(self, step: StepRow) -> float:
+    def waited_s(self, step: StepRow) -> float:
         """Return for how many seconds a step has waited for capacity."""
         return self._state.now - step.ready_at
 
-    def slack(self, step: StepRow) -> float:
+    def slack_s(self, step: StepRow) -> float:
         """Return the slack that a step had when it became ready."""
         return step.job.objective_at - step.ready_at - step.critical_path_s
 
-    def preemption_time(self, step: StepRow) -> float:
+    def preemption_time_s(self, step: StepRow) -> float:
         """Return the seconds from a decision to preempt until a step can start."""
         terms = self._state.terms_of(step.job).advice
         ticket_time = (
@@ -36,11 +36,11 @@
         )
         return self._state.settings.stop_time_s + ticket_time + ROUND_TIME_S
 
-    def spare(self, step: StepRow) -> float:
+    def spare_s(self, step: StepRow) -> float:
         """Return the slack that a step had beyond the time that it takes to preempt runs for it."""
-        return max(0.0, self.slack(step) - self.preemption_time(step))
+        return max(0.0, self.slack_s(step) - self.preemption_time_s(step))
 
     def spare_share_used(self, step: StepRow) -> float:
         """Return the share of its spare time for which a step has waited; 1 if it had none."""
-        spare = self.spare(step)
-        return 1.0 if spare <= 0 else min(1.0, self.waited(step) / spare)
+        spare = self.spare_s(step)
+        return 1.0 if spare <= 0 else min(1.0, self.waited_s(step) / spare)
--- a/src/sablemount/jobs/systems/vms.py
+++ b/src/sablemount/jobs/systems/vms.py
@@ -132,7 +132,7 @@
         row.entry_pending = False
         row.unlisted_at = None
 
-    def usable(self, row: VmRow) -> bool:
+    def is_usable(self, row: VmRow) -> bool:
         """Return whether a VM may get new work at all."""
         return not row.completions_unreliable and self._accepts_starts(row)
 
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -50,7 +50,7 @@
     CANCELLED = 4
 
     @property
-    def final(self) -> bool:
+    def is_final(self) -> bool:
         """Return whether the job has ended."""
         return self >= JobState.SUCCEEDED
 
--- a/tests/emulator/watch.py
+++ b/tests/emulator/watch.py
@@ -69,7 +69,7 @@
         self.newest[record.key] = record.value
         if record.key.startswith(PROGRESS_PREFIX):
             progress = decode_progress(record.value)
-            if JobState(progress.state).final:
+            if JobState(progress.state).is_final:
                 self._finished_jobs.add(record.key.removeprefix(PROGRESS_PREFIX))
 
     def on_claim(self, epoch: int) -> None:
@@ -164,7 +164,7 @@
 
     def check_reported_state(self, epoch: int, name: str, state: str) -> None:
         """Check that a final state reported to a caller is in the store."""
-        if JobState[state.upper()].final and name not in self._finished_jobs:
+        if JobState[state.upper()].is_final and name not in self._finished_jobs:
             self._add_violation(f"reported in state {state}, but not in the store: {name}", epoch)
 
     def _add_violation(self, fault: str, epoch: int, sequence: int | None = None) -> None:
--- a/tests/jobs/replay.py
+++ b/tests/jobs/replay.py
@@ -140,7 +140,7 @@
         """Acknowledge the completions that are in the store to each VM at once."""
         scheduler = self.rig.scheduler
         for row in scheduler.state.vms.values():
-            number = scheduler.acks.due(row)
+            number = scheduler.acks.due_number(row)
             if number:
                 scheduler.acks.ack_answered(row, number)
 
--- a/tests/jobs/test_acks.py
+++ b/tests/jobs/test_acks.py
@@ -36,12 +36,12 @@
 
 def test_an_acknowledgement_is_due_right_after_a_report() -> None:
     rig, row = _rig_with_completion()
-    assert rig.scheduler.acks.due(row) == 1
+    assert rig.scheduler.acks.due_number(row) == 1
     rig.clock.time += MAX_ACK_REPORT_AGE_S + 0.01
     rig.scheduler.update_time()
-    assert rig.scheduler.acks.due(row) == 0
+    assert rig.scheduler.acks.due_number(row) == 0
     rig.report_all()
-    assert rig.scheduler.acks.due(row) == 1
+    assert rig.scheduler.acks.due_number(row) == 1
 
 
 def test_an_acknowledgement_is_sent_once() -> None:
@@ -49,7 +49,7 @@
     rig.scheduler.acks.ack_sent(row)
     rig.scheduler.acks.ack_answered(row, 1)
     rig.report_all()
-    assert rig.scheduler.acks.due(row) == 0
+    assert rig.scheduler.acks.due_number(row) == 0
 
 
 def test_no_acknowledgement_is_due_while_a_start_request_is_in_flight() -> None:
@@ -57,10 +57,10 @@
     rig.accept("more", JOB)
     rig.tick()
     rig.report_all()
-    assert rig.scheduler.acks.due(row) == 0
+    assert rig.scheduler.acks.due_number(row) == 0
     rig.hold(rig.started()[-1])
     rig.report_all()
-    assert rig.scheduler.acks.due(row) == 1
+    assert rig.scheduler.acks.due_number(row) == 1
 
 
 def test_nothing_is_started_while_an_acknowledgement_is_in_flight() -> None:
@@ -97,7 +97,7 @@
         for start in started[1:-1]:
             rig.hold(start)
         rig.report_all()
-        rig.scheduler.acks.due(row)
+        rig.scheduler.acks.due_number(row)
     assert rig.scheduler.acks.delays_starts(row)
     assert row.unacknowledged_since is not None
     assert rig.clock.time - row.unacknowledged_since > MAX_ACK_DELAY_S
--- a/tests/jobs/test_batches.py
+++ b/tests/jobs/test_batches.py
@@ -17,7 +17,7 @@
 
 def _batches(rig: Rig) -> list[Batch]:
     batches = []
-    while rig.scheduler.journal.pending():
+    while rig.scheduler.journal.has_pending():
         batches.append(rig.scheduler.next_batch())
     return batches
 
--- a/tests/jobs/test_configuration_parts.py
+++ b/tests/jobs/test_configuration_parts.py
@@ -56,7 +56,7 @@
 
 def _transfer(packed: PackedConfiguration) -> IncomingTransfer:
     transfer = IncomingTransfer(packed.part(ConfigurationCall(-1, True)), 0.0)
-    while not transfer.complete:
+    while not transfer.is_complete:
         reply = packed.part(transfer.next_call(-1))
         assert 0 < len(reply.part) <= PART_BYTES
         assert transfer.add(reply)
--- a/tests/jobs/test_crashes.py
+++ b/tests/jobs/test_crashes.py
@@ -126,7 +126,7 @@
     bad = _run_task(rig, "bad")
     for _ in range(MAX_CRASHES):
         run = next(iter(bad.runs), None)
-        if run is None or rig.scheduler.state.jobs["bad"].state.final:
+        if run is None or rig.scheduler.state.jobs["bad"].state.is_final:
             break
         _crash(rig, run.vm)
         for _ in range(12):
@@ -147,7 +147,7 @@
         rig.hold_all()
         rig.wait(0.3)
     assert task.crashes == []
-    assert not task.step.job.state.final
+    assert not task.step.job.state.is_final
 
 
 def test_crashes_take_precedence_over_failures_in_a_full_record() -> None:
--- a/tests/jobs/test_large_rounds.py
+++ b/tests/jobs/test_large_rounds.py
@@ -98,7 +98,7 @@
     monkeypatch.setattr(rig.scheduler.advice, "lacks_advice", count_call)
     rig.tick()
     assert evaluations < 2 * MAX_VM_EVALUATIONS
-    while rig.scheduler.placement.unfinished:
+    while rig.scheduler.placement.has_untried_steps:
         rig.tick()
     assert evaluations >= JOBS * VMS
 
@@ -115,7 +115,7 @@
     rig.commit()
     rig.scheduler.state.capacity_version += 1
     rig.tick()
-    assert rig.scheduler.placement.unfinished
+    assert rig.scheduler.placement.has_untried_steps
     before = len(rig.started())
     for start in rig.started()[:2]:
         rig.complete(start, "done")
@@ -138,7 +138,7 @@
         # Capacity that is freed all the time prevents a pass from ending.
         rig.scheduler.state.capacity_version += 1
         rig.tick(0.05)
-        unfinished += rig.scheduler.placement.unfinished
+        unfinished += rig.scheduler.placement.has_untried_steps
         if rig.stopped():
             break
     assert unfinished
--- a/tests/jobs/test_making_room.py
+++ b/tests/jobs/test_making_room.py
@@ -32,7 +32,7 @@
     urgency = Urgency(rig.scheduler.state)
     assert [step.critical_path_s for step in job.steps.values()] == [3.0, 1.0]
     # The stretch is 2 and the target 1 s.
-    assert round(urgency.slack(job.steps[(0, 0)]), 6) == 4.0
+    assert round(urgency.slack_s(job.steps[(0, 0)]), 6) == 4.0
 
 
 def test_runs_are_stopped_at_once_for_a_step_without_slack() -> None:
--- a/tests/jobs/test_many_vms.py
+++ b/tests/jobs/test_many_vms.py
@@ -179,7 +179,7 @@
         for number in range(JOBS):
             leader.rig.accept(f"job{number}", spec(StepSpec(TASKS_PER_JOB, CORE)))
         leader.rig.tick(0.0)
-        while leader.rig.scheduler.placement.unfinished:
+        while leader.rig.scheduler.placement.has_untried_steps:
             leader.rig.tick(0.0)
         for start in leader.rig.started():
             leader.calls.start(start)
--- a/tests/jobs/test_narrow_links.py
+++ b/tests/jobs/test_narrow_links.py
@@ -9,7 +9,7 @@
 from sablemount.control.commit import Committer
 from sablemount.control.follow import Follower
 from sablemount.control.pages import MAX_KEY, read_newest
-from sablemount.control.preload import MAX_AGE_S, Preload, load_records
+from sablemount.control.preload import MAX_PRELOAD_AGE_S, Preload, load_records
 from sablemount.control.progress import TransferProgress
 from sablemount.control.store import Page, PageItem, Topic, Unavailable
 from sablemount.jobs.records import Record
@@ -169,7 +169,7 @@
         state.topics[Topic.JOBS].add(records)
         preload = Preload(LimitedLinkStore(state, "m", LimitedLink(LINK_BYTES_PER_S)))
         reading = preload.start()
-        await asyncio.sleep(2 * MAX_AGE_S)
+        await asyncio.sleep(2 * MAX_PRELOAD_AGE_S)
         assert not reading.done()
         assert preload.start() is reading
         assert preload.take() is reading
@@ -185,11 +185,11 @@
         )
         reading = preload.start()
         await reading
-        await asyncio.sleep(MAX_AGE_S + 0.1)
+        await asyncio.sleep(MAX_PRELOAD_AGE_S + 0.1)
         newer = preload.start()
         assert newer is not reading
         await newer
-        await asyncio.sleep(MAX_AGE_S + 0.1)
+        await asyncio.sleep(MAX_PRELOAD_AGE_S + 0.1)
         assert preload.take() is None
 
 
--- a/tests/jobs/test_preload.py
+++ b/tests/jobs/test_preload.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sablemount.control.preload import MAX_AGE_S, Preload, load_records
+from sablemount.control.preload import MAX_PRELOAD_AGE_S, Preload, load_records
 from sablemount.control.progress import TransferProgress
 from sablemount.control.store import Page, Topic, Unavailable
 from sablemount.jobs.records import Record
@@ -121,9 +121,9 @@
         preload = Preload(EmulatedStore(_store_with_pages(), "m"))
         reading = preload.start()
         await reading
-        await asyncio.sleep(MAX_AGE_S)
+        await asyncio.sleep(MAX_PRELOAD_AGE_S)
         assert preload.start() is not reading
-        await asyncio.sleep(MAX_AGE_S + 1.0)
+        await asyncio.sleep(MAX_PRELOAD_AGE_S + 1.0)
         assert preload.take() is None
 
     run(scenario())
--- a/tests/jobs/test_record_sizes.py
+++ b/tests/jobs/test_record_sizes.py
@@ -45,7 +45,7 @@
     for row in state.jobs.values():
         state.mark_dirty(row)
     record_count = 0
-    while rig.scheduler.journal.pending():
+    while rig.scheduler.journal.has_pending():
         records = rig.scheduler.next_batch().records
         record_count += len(records)
         assert max(map(_size, records)) <= RECORD_BYTES
