--- a/src/sablemount/control/caller_route.py
+++ b/src/sablemount/control/caller_route.py
@@ -16,8 +16,8 @@
     CallerReply,
     Operation,
     Outcome,
-    not_taken,
-    version_mismatch,
+    not_taken_reply,
+    version_mismatch_reply,
 )
 from sablemount.control.network import CallFailed
 
@@ -115,7 +115,7 @@
         if isinstance(admitted, CallerReply):
             return self._refusal(admitted)
         if self._settings.fail_closed and self._feed.age > self._settings.revoke_after:
-            return not_taken(UNCONFIRMED)
+            return not_taken_reply(UNCONFIRMED)
         reply = await self._ask_leader(admitted, timeout)
         if reply.outcome is Outcome.DONE:
             return reply
@@ -124,9 +124,9 @@
     def _refusal(self, refused: CallerReply) -> CallerReply:
         """Return the answer to a call that is not admitted by the version in force here."""
         if not self._is_current():
-            return not_taken(UNCONFIRMED, changing=True)
+            return not_taken_reply(UNCONFIRMED, changing=True)
         newer = self._feed.announced_version
-        return version_mismatch(newer) if newer > self._feed.version else refused
+        return version_mismatch_reply(newer) if newer > self._feed.version else refused
 
     def _is_current(self) -> bool:
         """Return whether this process leads or is in contact with the leader.
@@ -153,4 +153,4 @@
     """Return the answer for a call without a reply; it shows whether the call may have run."""
     if failed.may_have_run and call.operation is not Operation.STATE:
         return CallerReply(Outcome.UNKNOWN, reason=str(failed), changing=failed.closed)
-    return not_taken(str(failed), changing=not failed.may_have_run or failed.closed)
+    return not_taken_reply(str(failed), changing=not failed.may_have_run or failed.closed)
--- a/src/sablemount/control/callers.py
+++ b/src/sablemount/control/callers.py
@@ -11,8 +11,8 @@
     CallerReply,
     Operation,
     Outcome,
-    not_taken,
-    version_mismatch,
+    not_taken_reply,
+    version_mismatch_reply,
 )
 from sablemount.jobs.caps import cap_error
 from sablemount.jobs.model import Configuration, JobSpec, Queue, QueueTable, SpecError, check_spec
@@ -67,12 +67,12 @@
     async def serve(self, call: CallerCall) -> CallerReply:
         """Answer a caller's request."""
         if not self._has_authority():
-            return not_taken("the leader is not sure that it leads", changing=True)
+            return not_taken_reply("the leader is not sure that it leads", changing=True)
         configuration = self._scheduler.state.configuration
         if configuration.version < 0:
-            return not_taken("no configuration yet", changing=True)
+            return not_taken_reply("no configuration yet", changing=True)
         if call.version != configuration.version:
-            return version_mismatch(configuration.version)
+            return version_mismatch_reply(configuration.version)
         queue = self._queues_of(configuration).find(call.host, call.path)
         if queue is None:
             return CallerReply(Outcome.NO_QUEUE, reason="no queue at this host and prefix")
@@ -104,7 +104,7 @@
 
     def _no_job(self) -> CallerReply:
         if not self._confirmed():
-            return not_taken(STORE_SILENT)
+            return not_taken_reply(STORE_SILENT)
         return CallerReply(Outcome.NO_JOB, reason=NO_JOB)
 
     # -- Submissions -------------------------------------------------------------------------
@@ -145,13 +145,13 @@
         while not recorded.done() and monotonic() < deadline:
             await asyncio.wait([recorded], timeout=STORE_POLL_INTERVAL_S)
             if self._commits.is_store_silent() and self._scheduler.withdraw(name):
-                return not_taken("the store does not answer")
+                return not_taken_reply("the store does not answer")
         job = self._scheduler.state.jobs.get(name)
         if job is not None and job.durable:
             self._log("job accepted", name, queue)
             return CallerReply(Outcome.DONE)
         if self._scheduler.withdraw(name):
-            return not_taken("the store does not answer", changing=not self._has_authority())
+            return not_taken_reply("the store does not answer", changing=not self._has_authority())
         self._log("job uncertain", name, queue)
         return self._unknown_outcome()
 
@@ -188,7 +188,7 @@
 def _refusal_while_silent(known: JobRow | None) -> CallerReply | None:
     """Return the refusal of a submission while the store is silent, ``None`` for a stored job."""
     if known is None:
-        return not_taken("the store does not answer")
+        return not_taken_reply("the store does not answer")
     if not known.durable:
         return CallerReply(Outcome.UNKNOWN, reason=STORE_SILENT)
     return None
--- a/src/sablemount/control/election.py
+++ b/src/sablemount/control/election.py
@@ -245,7 +245,7 @@
         suspicion = self._link.suspicion
         if cooling_down and not suspicion.isolated_too_long(now):
             return None
-        return suspicion.reason(now, self._claim_delay())
+        return suspicion.claim_reason(now, self._claim_delay())
 
     async def _verified(self, reason: str) -> bool:
         """Return whether the checks available to this member support the claim."""
--- a/src/sablemount/control/follow.py
+++ b/src/sablemount/control/follow.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Sequence
 
 from sablemount.control.clock import monotonic
-from sablemount.control.pages import MAX_PAGE_TIME_S, read_newest, topic_end
+from sablemount.control.pages import MAX_PAGE_TIME_S, read_newest, read_topic_end
 from sablemount.control.progress import TransferProgress
 from sablemount.control.store import PageItem, ReadResult, Records, Store, Topic, Unavailable
 from sablemount.jobs.records import Record
@@ -115,7 +115,7 @@
         """Return whether the topic ends at the offset read so far; not checked if it is busy."""
         if self._next_offset is None or self._reads_with_records >= MIN_BUSY_READS:
             return False
-        end = await topic_end(self._store, self._topic, PROBE_INTERVAL_S, PAGE_TIMEOUT_S)
+        end = await read_topic_end(self._store, self._topic, PROBE_INTERVAL_S, PAGE_TIMEOUT_S)
         return end == self._next_offset
 
     async def _list(self, progress: TransferProgress) -> Unavailable | None:
--- a/src/sablemount/control/gate.py
+++ b/src/sablemount/control/gate.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sablemount.control.messages import CallerCall, CallerReply, Outcome, not_taken
+from sablemount.control.messages import CallerCall, CallerReply, Outcome, not_taken_reply
 from sablemount.jobs.model import Configuration, Queue, QueueTable
 
 __all__ = ["Gate", "key_digest"]
@@ -38,7 +38,7 @@
         """
         configuration = self.configuration
         if configuration.version < 0:
-            return not_taken("no configuration yet", changing=True)
+            return not_taken_reply("no configuration yet", changing=True)
         queue = self.queue(call)
         if queue is None:
             return CallerReply(Outcome.NO_QUEUE, reason="no queue at this host and prefix")
--- a/src/sablemount/control/leader_link.py
+++ b/src/sablemount/control/leader_link.py
@@ -95,7 +95,7 @@
         return 0 if self.record is None else self.record.epoch
 
     @property
-    def connected(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether there is a connection to the leader."""
         return self._link is not None
 
--- a/src/sablemount/control/member_calls.py
+++ b/src/sablemount/control/member_calls.py
@@ -22,7 +22,7 @@
     Pong,
     Reply,
     ViewCall,
-    not_taken,
+    not_taken_reply,
 )
 from sablemount.control.network import Link
 from sablemount.control.ports import AdvicePort
@@ -78,7 +78,7 @@
         if leader is not None and leader.leading:
             return LeaderView(leader.epoch, 0.0, True, self._link.record)
         age = self._link.suspicion.silent_for(monotonic())
-        return LeaderView(self._link.epoch, age, self._link.connected, self._link.record)
+        return LeaderView(self._link.epoch, age, self._link.is_connected, self._link.record)
 
     def _answer_ping(self, link: Link, ping: Ping) -> Pong:
         leader = self._leader()
@@ -110,5 +110,5 @@
     async def _serve(self, call: CallerCall) -> CallerReply:
         leader = self._leader()
         if leader is None or not leader.leading:
-            return not_taken("this member does not lead", changing=True)
+            return not_taken_reply("this member does not lead", changing=True)
         return await leader.serve(self._feed.readmit(call))
--- a/src/sablemount/control/members.py
+++ b/src/sablemount/control/members.py
@@ -10,7 +10,7 @@
 from sablemount.control.clock import monotonic
 from sablemount.control.messages import Ping
 from sablemount.control.network import Link
-from sablemount.control.standing import FULL_STANDING, clearly_better
+from sablemount.control.standing import FULL_STANDING, is_clearly_better
 
 __all__ = ["Members"]
 
@@ -153,7 +153,7 @@
         return [
             (name, link)
             for name, link in self.successor_candidates()
-            if clearly_better(rows[name].standing, own_standing)
+            if is_clearly_better(rows[name].standing, own_standing)
             and rows[name].uptime > MIN_STABLE_UPTIME_S
         ]
 
--- a/src/sablemount/control/messages.py
+++ b/src/sablemount/control/messages.py
@@ -28,8 +28,8 @@
     "TakeOver",
     "TakeOverReply",
     "ViewCall",
-    "not_taken",
-    "version_mismatch",
+    "not_taken_reply",
+    "version_mismatch_reply",
 ]
 
 RETRY_AFTER_S = 1.0
@@ -228,16 +228,16 @@
     """Epoch of the leader that answered, for the log line; 0 if none was asked."""
 
 
-def not_taken(reason: str, changing: bool = False) -> CallerReply:
+def not_taken_reply(reason: str, changing: bool = False) -> CallerReply:
     """Return the answer to a request that has certainly not taken effect; it asks for a retry."""
     return CallerReply(
         Outcome.NOT_TAKEN, reason=reason, retry_after=RETRY_AFTER_S, changing=changing
     )
 
 
-def version_mismatch(version: int) -> CallerReply:
+def version_mismatch_reply(version: int) -> CallerReply:
     """Return the answer to a call that was admitted under a version other than the leader's."""
-    reply = not_taken("the configuration is changing", changing=True)
+    reply = not_taken_reply("the configuration is changing", changing=True)
     return msgspec.structs.replace(reply, version=version)
 
 
--- a/src/sablemount/control/organisation_figures.py
+++ b/src/sablemount/control/organisation_figures.py
@@ -7,7 +7,7 @@
 
 __all__ = ["organisation_gauges"]
 
-MAX_NAMED = 40
+MAX_NAMED_ORGANISATIONS = 40
 """Maximum number of organisations with metrics of their own; all others are summed."""
 OTHERS_LABEL = "others"
 MILLICORES_PER_CORE = 1000.0
@@ -17,7 +17,7 @@
     """Return the cores in use, the cap in cores and the number of waiting tasks by organisation."""
     usage = state.usage
     by_use = sorted(usage.organisations(), key=lambda name: -usage.of(name).cores)
-    named = set(by_use[:MAX_NAMED])
+    named = set(by_use[:MAX_NAMED_ORGANISATIONS])
     gauges: defaultdict[str, float] = defaultdict(float)
     for name in by_use:
         gauges[_key("cores", name, named)] += usage.of(name).cores / MILLICORES_PER_CORE
--- a/src/sablemount/control/pages.py
+++ b/src/sablemount/control/pages.py
@@ -15,7 +15,7 @@
 from sablemount.control.progress import TransferProgress
 from sablemount.control.store import Page, PageItem, Store, Topic, Unavailable
 
-__all__ = ["MAX_KEY", "Newest", "read_newest", "topic_end"]
+__all__ = ["MAX_KEY", "Newest", "read_newest", "read_topic_end"]
 
 MAX_KEY = "\U0010ffff"
 """A key that is greater than all others."""
@@ -66,7 +66,7 @@
         after = last
 
 
-async def topic_end(store: Store, topic: Topic, interval: float, limit: float) -> int | None:
+async def read_topic_end(store: Store, topic: Topic, interval: float, limit: float) -> int | None:
     """Return the end offset of a topic, or ``None`` without an answer; reads no records."""
 
     async def ask() -> int | None:
@@ -151,7 +151,7 @@
 
     async def _probe(self) -> Page | None:
         """Check whether the store responds; return the page if it arrives first."""
-        end = topic_end(self._store, self._topic, self._interval, self._time_left())
+        end = read_topic_end(self._store, self._topic, self._interval, self._time_left())
         probe = asyncio.ensure_future(end)
         try:
             page = await self._wait({*self._attempts, probe}, None)
--- a/src/sablemount/control/standing.py
+++ b/src/sablemount/control/standing.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-__all__ = ["FULL_STANDING", "MachineLimits", "claim_delay", "clearly_better", "standing"]
+__all__ = ["FULL_STANDING", "MachineLimits", "claim_delay", "is_clearly_better", "standing"]
 
 SUFFICIENT_CORES = 0.9
 """Share of a processor core with which a leader of some 200 VMs keeps up."""
@@ -70,6 +70,6 @@
     return min(MAX_DELAY_S, DELAY_STEP_S * math.log2(best / own))
 
 
-def clearly_better(other: float, own: float) -> bool:
+def is_clearly_better(other: float, own: float) -> bool:
     """Return whether another member is so much better that a handover is worth its cost."""
     return other >= MIN_IMPROVEMENT * own
--- a/src/sablemount/control/suspicion.py
+++ b/src/sablemount/control/suspicion.py
@@ -124,7 +124,7 @@
         """Return the seconds since the leader was last heard."""
         return now - max(self.last_pong_at, self.known_since)
 
-    def reason(self, now: float, delay: float) -> str | None:
+    def claim_reason(self, now: float, delay: float) -> str | None:
         """Return the reason to claim now, or ``None``; ``delay`` (seconds) differs by member."""
         silence = self.silent_for(now)
         if self.refused_since != NEVER and now - self.refused_since > REFUSED_TIMEOUT_S + delay:
@@ -135,11 +135,11 @@
             return ClaimReason.IDLE
         if self.store_lost_since != NEVER and now - self.store_lost_since > delay:
             return ClaimReason.STORE_LOST
-        if self.load_stalled(now, delay):
+        if self.is_load_stalled(now, delay):
             return ClaimReason.LOAD_STALLED
         return None
 
-    def load_stalled(self, now: float, delay: float) -> bool:
+    def is_load_stalled(self, now: float, delay: float) -> bool:
         """Return whether the leader's load has made no progress for too long."""
         timeout: float = LOAD_STALL_TIMEOUT_S * 2 ** min(
             self.leaderless_epochs, MAX_LOAD_TIMEOUT_DOUBLINGS
--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -167,7 +167,7 @@
         if state.now - self._slow_systems_ran_at >= SLOW_SYSTEMS_INTERVAL_S:
             self._slow_systems_ran_at = state.now
             self._run_slow_systems()
-        if not state.previous_runs_settled and self.vms.all_reported():
+        if not state.previous_runs_settled and self.vms.are_previous_runs_settled():
             state.previous_runs_settled = True
             state.previous_runs_settled_at = state.now
             state.capacity_version += 1
@@ -189,7 +189,7 @@
         for row in self.vms.remove_expired():
             if row.recorded:
                 self.journal.record_disuse(row)
-        for row in self.vms.idle():
+        for row in self.vms.drained_or_expired():
             self.journal.record_disuse(row)
         for row in self.vms.unrecorded():
             self.journal.record_use(row)
--- a/src/sablemount/jobs/systems/crashes.py
+++ b/src/sablemount/jobs/systems/crashes.py
@@ -33,7 +33,7 @@
 leader itself was paused or cut off."""
 MIN_SILENT_LIMIT = 2
 """Number of silent VMs up to which their silence is recorded whatever their share."""
-JUDGE_INTERVAL_S = 0.3
+WEIGH_INTERVAL_S = 0.3
 """Seconds between checks whether more is known about crashes."""
 MAX_ISOLATED_CRASHES = 3
 """Crashes after which a task fails permanently, if their weights suffice and it was isolated at the
@@ -60,7 +60,7 @@
         self._update_vm_record = update_vm_record
         """Updates a VM's record of the tasks that its crash would be attributed to."""
         self._check_interval = IntervalTimer(CHECK_INTERVAL_S)
-        self._judge_interval = IntervalTimer(JUDGE_INTERVAL_S)
+        self._weigh_timer = IntervalTimer(WEIGH_INTERVAL_S)
         self._evidence = Evidence(state)
 
     # -- Counting ----------------------------------------------------------------------------
@@ -194,7 +194,7 @@
 
     def run(self) -> None:
         """Record what runs on VMs that have fallen silent, before their crash is certain."""
-        if self._judge_interval.due(self._state.now):
+        if self._weigh_timer.due(self._state.now):
             self._fail_attributed()
         if not self._check_interval.due(self._state.now):
             return
--- a/src/sablemount/jobs/systems/vms.py
+++ b/src/sablemount/jobs/systems/vms.py
@@ -328,7 +328,7 @@
                 self._log("VM removed", row)
         return removed
 
-    def idle(self) -> list[VmRow]:
+    def drained_or_expired(self) -> list[VmRow]:
         """Return the VMs in use on which nothing can run any more.
 
         They are silent and the leases there are over, or they drain, so that nothing is started
@@ -501,7 +501,7 @@
         leases_end_at = state.now + settings.takeover_margin_s + settings.lease_s / MIN_CLOCK_RATE
         state.unreported_leases_end = max(state.unreported_leases_end, leases_end_at)
 
-    def all_reported(self) -> bool:
+    def are_previous_runs_settled(self) -> bool:
         """Return whether all runs of previous leaders are known or over."""
         state = self._state
         if state.leadership_confirmed_at > state.unreported_leases_end:
--- a/tests/jobs/test_caps.py
+++ b/tests/jobs/test_caps.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sablemount.control.organisation_figures import MAX_NAMED, organisation_gauges
+from sablemount.control.organisation_figures import MAX_NAMED_ORGANISATIONS, organisation_gauges
 from sablemount.jobs.actions import RunReport
 from sablemount.jobs.caps import NO_LIMIT, cap_error, remaining_places
 from sablemount.jobs.model import Organisation, Queue, Shape, StepSpec
@@ -362,8 +362,8 @@
         rig.accept(f"j{organisation.name}", spec(StepSpec(3, CORE)), organisation=organisation.name)
     rig.tick()
     gauges = organisation_gauges(rig.scheduler.state)
-    assert len(gauges) <= 3 * MAX_NAMED + 2
+    assert len(gauges) <= 3 * MAX_NAMED_ORGANISATIONS + 2
     assert gauges["organisation_cores/o000"] == 2.0
     assert gauges["organisation_cap/o000"] == 2.0
     assert gauges["organisation_waiting/o000"] == 1.0
-    assert gauges["organisation_cores/others"] == 2.0 * (200 - MAX_NAMED)
+    assert gauges["organisation_cores/others"] == 2.0 * (200 - MAX_NAMED_ORGANISATIONS)
