--- a/src/sablemount/jobs/journal.py
+++ b/src/sablemount/jobs/journal.py
@@ -44,7 +44,7 @@
     """State of the jobs whose progress is in the batch, by job."""
     vms_in_use: dict[str, int] = {}
     """Number of the use record, by VM that may be given work once the batch is stored."""
-    completions: dict[str, int] = {}
+    last_completions: dict[str, int] = {}
     """Number of the last recorded completion, by VM."""
     recorded_runs: list[RunRow] = []
     """Runs whose start requests wait for this batch."""
@@ -94,7 +94,7 @@
         """Drop the record of an ended job."""
         self._dropped.append(Record(PROGRESS_PREFIX + name))
 
-    def pending(self) -> bool:
+    def has_pending(self) -> bool:
         """Return whether there is something to append."""
         state = self._state
         if self._accepting or self._vms or state.dirty_jobs or self._recording:
@@ -194,7 +194,7 @@
             name, job = next(iter(state.dirty_jobs.items()))
             progress = self._lifecycle.progress(job)
             records = [progress_record(name, progress, state.settings.record_bytes)]
-            if job.state.final:
+            if job.state.is_final:
                 records.append(Record(JOB_PREFIX + name))
             if not builder.accepts(records):
                 return
@@ -206,7 +206,7 @@
         for row in self._state.vms.values():
             if row.last_seen_completion > row.last_batched_completion:
                 row.last_batched_completion = row.last_seen_completion
-                batch.completions[row.name] = row.last_seen_completion
+                batch.last_completions[row.name] = row.last_seen_completion
 
     def batch_stored(self, batch: Batch) -> None:
         """Handle a batch that is in the store."""
@@ -224,7 +224,7 @@
             if row is not None and current and not row.in_use:
                 row.in_use = True
                 self._state.capacity_version += 1
-        for vm, number in batch.completions.items():
+        for vm, number in batch.last_completions.items():
             row = self._state.vms.get(vm)
             if row is not None:
                 row.last_recorded_completion = max(row.last_recorded_completion, number)
@@ -233,10 +233,10 @@
 
     def _show_state(self, name: str, recorded: JobState) -> None:
         job = self._state.jobs.get(name)
-        if job is None or job.visible_state.final:
+        if job is None or job.visible_state.is_final:
             return
         job.visible_state = recorded
-        if recorded.final:
+        if recorded.is_final:
             log_job_end(self._state.logger, job, self._state.now, self._state.wall_ms)
             job.run_completions.clear()
             # The payload and the tasks are no longer needed; the shapes are, for runs that are
--- a/src/sablemount/jobs/scheduler.py
+++ b/src/sablemount/jobs/scheduler.py
@@ -39,7 +39,7 @@
 from sablemount.jobs.systems.preemption import Preemption
 from sablemount.jobs.systems.proofs import Probes
 from sablemount.jobs.systems.reconcile import Reconcile
-from sablemount.jobs.systems.reservation import Reservation
+from sablemount.jobs.systems.reservation import GangReservations
 from sablemount.jobs.systems.speeds import Speeds
 from sablemount.jobs.systems.starts import Starts
 from sablemount.jobs.systems.vms import Vms
@@ -107,7 +107,7 @@
         self.vms = Vms(self.state, self.acks)
         self.reconcile = Reconcile(self.state, self.lifecycle, self.acks)
         self.advice = Advice(self.state)
-        self.reservation = Reservation(self.state)
+        self.gang_reservations = GangReservations(self.state)
         self.caps = Caps(self.state)
         self.journal = Journal(self.state, self.lifecycle)
         self.crashes = Crashes(self.state, self.lifecycle, self.journal.update_vm_record)
@@ -124,7 +124,7 @@
             self.state,
             self.vms,
             self.advice,
-            self.reservation,
+            self.gang_reservations,
             self.caps,
             self.starts,
             self.speeds,
@@ -167,7 +167,7 @@
         if state.now - self._slow_systems_ran_at >= SLOW_SYSTEMS_INTERVAL_S:
             self._slow_systems_ran_at = state.now
             self._run_slow_systems()
-        if not state.previous_runs_settled and self.vms.all_reported():
+        if not state.previous_runs_settled and self.vms.are_previous_runs_settled():
             state.previous_runs_settled = True
             state.previous_runs_settled_at = state.now
             state.capacity_version += 1
@@ -189,7 +189,7 @@
         for row in self.vms.remove_expired():
             if row.recorded:
                 self.journal.record_disuse(row)
-        for row in self.vms.idle():
+        for row in self.vms.drained_or_expired():
             self.journal.record_disuse(row)
         for row in self.vms.unrecorded():
             self.journal.record_use(row)
@@ -217,11 +217,11 @@
             if stored is not None:
                 self.crashes.restore(row, stored)
         for name, ended in progress.items():
-            if JobState(ended.state).final:
+            if JobState(ended.state).is_final:
                 self.lifecycle.restore_ended(name, ended)
         # An incarnation that another one has followed has crashed, which counts for the restored
         # jobs.
-        self.vms.loaded()
+        self.vms.finish_loading()
         self.vms.previous_leader_may_start()
 
     def _load_record(
@@ -409,7 +409,7 @@
         elif why is StartRefusal.TICKET:
             found = self.state.task(task)
             if found is not None:
-                self.advice.refused(found.step, vm)
+                self.advice.ticket_refused(found.step, vm)
         if certain:
             self.reconcile.run_not_started(vm, task, number)
 
@@ -431,4 +431,4 @@
             job = self.state.jobs.get(name)
             if job is not None:
                 for step in job.steps.values():
-                    self.state.touch(step)
+                    self.state.mark_for_placement(step)
--- a/src/sablemount/jobs/state.py
+++ b/src/sablemount/jobs/state.py
@@ -89,7 +89,7 @@
         self.vms_version = 0
         """Version of the VMs: counts changes that may make VMs usable that steps have no advice on
         yet."""
-        self.touched_steps: set[str] = set()
+        self.steps_marked_for_placement: set[str] = set()
         """Steps to be placed again although no capacity was freed."""
         self.previous_runs_settled = False
         """Whether all runs that previous leaders started are known or over."""
@@ -123,9 +123,9 @@
         """Have the progress of a job recorded with the next batch."""
         self.dirty_jobs[job.name] = job
 
-    def touch(self, step: StepRow) -> None:
+    def mark_for_placement(self, step: StepRow) -> None:
         """Have a step considered in the next placement round."""
-        self.touched_steps.add(step.key)
+        self.steps_marked_for_placement.add(step.key)
 
     # -- Lookups -----------------------------------------------------------------------------
 
@@ -220,7 +220,7 @@
     def keep_completion(self, run: RunRow, outcome: str) -> None:
         """Keep how a run ended for the log line of its job's end."""
         job = self.jobs.get(job_name_of(run.task))
-        if job is None or job.visible_state.final or run.completion_kept:
+        if job is None or job.visible_state.is_final or run.completion_kept:
             return
         run.completion_kept = True
         if len(job.run_completions) >= MAX_KEPT_COMPLETIONS:
@@ -286,15 +286,15 @@
         task.step.waiting += 1
         task.step.requeued_at = self.now
         self.open_steps[task.step.key] = task.step
-        self.touch(task.step)
+        self.mark_for_placement(task.step)
 
-    def release_reserved(self, step: StepRow) -> None:
-        """Release the capacity that was reserved for a step."""
-        for name, count in step.reserved.items():
+    def release_ticket_reservations(self, step: StepRow) -> None:
+        """Release the capacity that was reserved while a step's tickets were requested."""
+        for name, count in step.awaiting_tickets.items():
             vm = self.vms.get(name)
             if vm is not None:
                 vm.free_capacity = vm.free_capacity.plus(step.spec.charge, count)
-        step.reserved.clear()
+        step.awaiting_tickets.clear()
 
     def orphan_run(self, run: RunRow) -> None:
         """Keep a run charged until it is stopped; one that was not requested is removed at once."""
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -13,7 +13,7 @@
 from sablemount.jobs.systems.choice import Assignment, Choice
 from sablemount.jobs.systems.every import IntervalTimer
 from sablemount.jobs.systems.held_back import BlockingAnalysis
-from sablemount.jobs.systems.reservation import Reservation
+from sablemount.jobs.systems.reservation import GangReservations
 from sablemount.jobs.systems.speeds import Speeds
 from sablemount.jobs.systems.starts import Starts
 from sablemount.jobs.systems.trials import Isolation
@@ -45,21 +45,21 @@
         state: State,
         vms: Vms,
         advice: Advice,
-        reservation: Reservation,
+        gang_reservations: GangReservations,
         caps: Caps,
         starts: Starts,
         speeds: Speeds,
     ) -> None:
         self._state = state
         self._caps = caps
-        self._reservation = reservation
+        self._gang_reservations = gang_reservations
         self._vms = vms
         self._advice = advice
         self._starts = starts
         self._speeds = speeds
         self._isolation = Isolation(state)
         self._choice = Choice(state, advice, self._isolation, speeds)
-        self._blocking = BlockingAnalysis(state, vms, advice, reservation, self._isolation)
+        self._blocking = BlockingAnalysis(state, vms, advice, gang_reservations, self._isolation)
         self._wait_log_timer = IntervalTimer(LOG_WAIT_INTERVAL_S)
         self._last_round_at = -RETRY_INTERVAL_S
         self._max_free = Shape()
@@ -83,7 +83,10 @@
             state.capacity_version += 1
         if self._wait_log_timer.due(state.now):
             self._log_waiting()
-        if state.capacity_version == state.placed_at_capacity_version and not state.touched_steps:
+        if (
+            state.capacity_version == state.placed_at_capacity_version
+            and not state.steps_marked_for_placement
+        ):
             return
         self._last_round_at = state.now
         if not self._tried:
@@ -91,19 +94,19 @@
         usable = self.usable_rows()
         self._max_free = _max_free_capacity(usable)
         self._isolation.begin_round(usable)
-        self._reservation.begin()
-        self._caps.begin()
+        self._gang_reservations.begin_round()
+        self._caps.begin_round()
         before = set(self._tried)
         if self._round(usable):
             # A step that was tried in an earlier round and touched since is tried again.
-            state.touched_steps &= before & state.open_steps.keys()
+            state.steps_marked_for_placement &= before & state.open_steps.keys()
             self._tried.clear()
             state.placed_at_capacity_version = self._pass_capacity_version
         else:
-            state.touched_steps -= self._tried - before
+            state.steps_marked_for_placement -= self._tried - before
 
     @property
-    def unfinished(self) -> bool:
+    def has_untried_steps(self) -> bool:
         """Whether some steps were left to the next round."""
         return bool(self._tried)
 
@@ -123,7 +126,8 @@
             elif step.key in self._tried and self._evaluated > MAX_VM_EVALUATIONS // 2:
                 continue
             elif (
-                step.tried_at_capacity_version != current_version or step.key in state.touched_steps
+                step.tried_at_capacity_version != current_version
+                or step.key in state.steps_marked_for_placement
             ):
                 if self._evaluated > MAX_VM_EVALUATIONS:
                     return False
@@ -140,9 +144,9 @@
 
     def usable_rows(self) -> list[VmRow]:
         """Return the VMs that may get new work at all."""
-        return [row for row in self._state.vms.values() if self._vms.usable(row)]
+        return [row for row in self._state.vms.values() if self._vms.is_usable(row)]
 
-    def ready(self, step: StepRow) -> bool:
+    def is_ready(self, step: StepRow) -> bool:
         """Return whether a step may be started at all."""
         job = step.job
         if not job.durable or _gang_may_run(step):
@@ -151,42 +155,42 @@
         return not job.from_previous_leader or self._state.previous_runs_settled
 
     def _place(self, step: StepRow, usable: list[VmRow]) -> None:
-        if step.reserved and step.advice is not None and step.advice.calls_in_flight:
+        if step.awaiting_tickets and step.advice is not None and step.advice.calls_in_flight:
             return
-        self._release_reserved(step)
+        self._release_ticket_reservations(step)
         step.tried_at_capacity_version = self._state.capacity_version
-        if not self.ready(step):
+        if not self.is_ready(step):
             self._request_unknown(step, usable)
             return
-        self._reservation.release(step)
-        self._caps.release(step)
+        self._gang_reservations.release(step)
+        self._caps.release_reservation(step)
         places = self._caps.places(step)
         step.update_capped(places < step.waiting, self._state.now)
         if places < step.waiting:
-            self._caps.reserve(step)
+            self._caps.reserve_for_gang(step)
             if step.spec.gang or not places:
                 return
-        tasks = [task for task in step.tasks if self.startable(task)][:places]
+        tasks = [task for task in step.tasks if self.is_startable(task)][:places]
         if len(tasks) < step.waiting and (step.spec.gang or not tasks):
             return
         if self._fits_nowhere(step):
             self._request_unknown(step, usable)
             return
-        rows = self.allowed(step, usable)
+        rows = self.allowed_rows(step, usable)
         self._evaluated += len(usable)
         self._isolation.isolate_for(step, rows)
-        chosen = self._choice.assign(step, tasks, self._reservation.available_to(step, rows))
+        chosen = self._choice.assign(step, tasks, self._gang_reservations.available_to(step, rows))
         if len(chosen) < len(tasks):
             self._max_free = _max_free_capacity(usable)
             self._request_unknown(step, usable)
             if step.spec.gang:
-                self._reservation.reserve(step, rows)
+                self._gang_reservations.reserve_vms(step, rows)
                 return
         self._start_or_request(step, chosen)
 
-    def _release_reserved(self, step: StepRow) -> None:
-        names = list(step.reserved)
-        self._state.release_reserved(step)
+    def _release_ticket_reservations(self, step: StepRow) -> None:
+        names = list(step.awaiting_tickets)
+        self._state.release_ticket_reservations(step)
         rows = (self._state.vms.get(name) for name in names)
         self._max_free = _max_free_capacity(
             [row for row in rows if row is not None], self._max_free
@@ -202,7 +206,7 @@
         exhaustive = step.spec.gang or step.job.name in self._state.suspected_jobs
         return not exhaustive and not step.spec.charge.fits(self._max_free)
 
-    def startable(self, task: TaskRow) -> bool:
+    def is_startable(self, task: TaskRow) -> bool:
         """Return whether a waiting task may be started now.
 
         While the store does not answer, tasks whose start has to be recorded first may not.
@@ -211,7 +215,7 @@
             self._state.store_answers or not task.must_record_first
         )
 
-    def allowed(self, step: StepRow, usable: list[VmRow]) -> list[VmRow]:
+    def allowed_rows(self, step: StepRow, usable: list[VmRow]) -> list[VmRow]:
         """Return the VMs on which a step may run, whether they have free capacity or not."""
         now = self._state.now
         priority = self._state.terms_of(step.job).priority
@@ -220,7 +224,7 @@
             row
             for row in self._candidates(step, usable)
             if (permitted is None or row.name in permitted)
-            and not row.reserved_against(step, priority, now)
+            and not row.is_reserved_against(step, priority, now)
             and row.isolated_job in ("", step.job.name)
         ]
 
@@ -276,12 +280,12 @@
                 "step": step.key,
                 "waits": step.waiting,
                 "of": step.open_tasks,
-                "ready": self.ready(step),
+                "ready": self.is_ready(step),
                 "noting": state.store_answers,
                 "crashes": max(len(task.crashes) for task in step.tasks),
-                "booked": len(step.reserved),
+                "booked": len(step.awaiting_tickets),
                 "asking": 0 if advice is None else advice.calls_in_flight,
-                "unasked_for": round(self._advice.slot_wait(step), 3),
+                "unasked_for": round(self._advice.slot_wait_s(step), 3),
                 "good": -1 if advice is None else len(advice.tickets),
                 "bad": -1 if advice is None else len(advice.denied_vms),
                 "held": self._blocking.count_reasons(step),
@@ -306,7 +310,7 @@
         unknown = [
             row
             for row in candidates
-            if self._advice.unknown(step, row) and charge.fits(row.info.capacity)
+            if self._advice.lacks_advice(step, row) and charge.fits(row.info.capacity)
         ]
         if not unknown:
             # A VM that is silent or avoided now may lack advice, and may be usable again at any
@@ -320,7 +324,7 @@
         required_speed = self._speeds.required_speed(step)
         unknown.sort(
             key=lambda row: (
-                not self._speeds.fast_enough(required_speed, row),
+                not self._speeds.is_fast_enough(required_speed, row),
                 -row.free_capacity.cores,
             )
         )
@@ -338,7 +342,7 @@
         """
         if row.isolated_job not in ("", step.job.name):
             return False
-        if self._advice.has_slow_calls(step) or not self._advice.congested:
+        if self._advice.has_slow_calls(step) or not self._advice.is_congested:
             return True
         if not step.spec.charge.fits(row.free_capacity):
             return False
@@ -371,7 +375,7 @@
     def _reserve(self, step: StepRow, chosen: Assignment) -> None:
         """Reserve the capacity of an assignment until its tickets have arrived."""
         for _, row in chosen:
-            step.reserved[row.name] = step.reserved.get(row.name, 0) + 1
+            step.awaiting_tickets[row.name] = step.awaiting_tickets.get(row.name, 0) + 1
             row.free_capacity = row.free_capacity.plus(step.spec.charge, -1)
 
     # -- Starts ------------------------------------------------------------------------------
--- a/src/sablemount/jobs/systems/preemption.py
+++ b/src/sablemount/jobs/systems/preemption.py
@@ -106,7 +106,7 @@
                 usable = self._placement.usable_rows()
             evaluated += len(usable)
             self._tried.add(step.key)
-            self._preempt_for(step, self._placement.allowed(step, usable))
+            self._preempt_for(step, self._placement.allowed_rows(step, usable))
         self._tried.clear()
 
     def _max_concurrent_steps(self) -> int:
@@ -123,9 +123,9 @@
         for key in expired:
             del self._reserved_until[key]
         for row in self._state.vms.values():
-            if row.reserved_for in expired:
-                row.reserved_for = ""
-                row.reserved_until = NEVER
+            if row.preemptor_step in expired:
+                row.preemptor_step = ""
+                row.reserved_for_preemptor_until = NEVER
 
     def _is_pending(self, key: str, until: float) -> bool:
         """Return whether capacity is being freed for a step that has not taken it yet."""
@@ -134,7 +134,7 @@
 
     def _is_due(self, step: StepRow) -> bool:
         """Return whether a step has waited long enough; a wait for tickets does not count."""
-        if not step.waiting or step.reserved or not self._placement.ready(step):
+        if not step.waiting or step.awaiting_tickets or not self._placement.is_ready(step):
             return False
         if step.tried_at_capacity_version < 0:
             # Placement has not tried the step yet, and may find capacity without preemption.
@@ -145,8 +145,8 @@
             # Isolated tasks wait for their own VM, so that capacity on another is of no use to
             # them.
             return False
-        max_wait = min(MAX_WAIT_S, WAIT_SHARE * self._urgency.spare(step))
-        return self._urgency.waited(step) > max_wait
+        max_wait = min(MAX_WAIT_S, WAIT_SHARE * self._urgency.spare_s(step))
+        return self._urgency.waited_s(step) > max_wait
 
     # -- Choice of runs ----------------------------------------------------------------------
 
@@ -234,17 +234,17 @@
     def _preempt(self, step: StepRow, offers: list[_Offer], loss: float) -> None:
         state = self._state
         names = sorted({offer.row.name for offer in offers})
-        cost = self._advice.cost(step, len(names))
-        until = state.now + state.settings.stop_time_s + 2 * cost + RESERVATION_MARGIN_S
+        expected_call_s = self._advice.expected_call_s(step, len(names))
+        until = state.now + state.settings.stop_time_s + 2 * expected_call_s + RESERVATION_MARGIN_S
         self._reserved_until[step.key] = until
         priority = state.terms_of(step.job).priority
         stopped = [run for offer in offers for run in offer.victims]
         for offer in offers:
-            offer.row.reserved_priority = priority
-            offer.row.reserved_until = until
+            offer.row.preemptor_priority = priority
+            offer.row.reserved_for_preemptor_until = until
             # Part of a gang's capacity is of no use to it, and other gangs would take such parts in
             # turn. So it is reserved for this gang alone.
-            offer.row.reserved_for = step.key if step.spec.gang else ""
+            offer.row.preemptor_step = step.key if step.spec.gang else ""
         for run in stopped:
             self._reconcile.stop(run)
         if step.advice is not None:
--- a/src/sablemount/jobs/tables.py
+++ b/src/sablemount/jobs/tables.py
@@ -50,7 +50,7 @@
     CANCELLED = 4
 
     @property
-    def final(self) -> bool:
+    def is_final(self) -> bool:
         """Return whether the job has ended."""
         return self >= JobState.SUCCEEDED
 
@@ -223,7 +223,7 @@
     tickets: dict[str, Ticket] = field(default_factory=dict)
     denied_vms: set[str] = field(default_factory=set)
     calls_in_flight: int = 0
-    waiting_since: float = NEVER
+    calls_sent_or_abandoned_at: float = NEVER
     """When the first of the calls in flight was sent, or the last call was abandoned."""
     waited_s: float = 0.0
     """Seconds spent waiting for answers so far."""
@@ -233,7 +233,9 @@
 
     def total_wait_s(self, now: float) -> float:
         """Return the seconds spent waiting for answers, including the calls in flight."""
-        return self.waited_s + (now - self.waiting_since if self.calls_in_flight else 0.0)
+        return self.waited_s + (
+            now - self.calls_sent_or_abandoned_at if self.calls_in_flight else 0.0
+        )
 
 
 @dataclass(slots=True, eq=False)
@@ -253,7 +255,7 @@
     """Number of tasks that wait for a start."""
     opened_at: float = NEVER
     advice: AdviceRow | None = None
-    reserved: dict[str, int] = field(default_factory=dict)
+    awaiting_tickets: dict[str, int] = field(default_factory=dict)
     """Number of tasks by VM for which capacity is reserved while tickets are requested."""
     wait_logged_at: float = NEVER
     """When it was last logged that the step waits."""
@@ -411,11 +413,12 @@
     progress."""
     failed_jobs: set[str] = field(default_factory=set)
     """Jobs of which a task has failed there since any task last succeeded there."""
-    reserved_priority: int = 0
-    """Priority for which its capacity is reserved."""
-    reserved_for: str = ""
-    """Only step that its capacity is reserved for; empty if any of that priority may use it."""
-    reserved_until: float = NEVER
+    preemptor_priority: int = 0
+    """Priority for which preemption has reserved its capacity."""
+    preemptor_step: str = ""
+    """Only step that preemption has reserved its capacity for; empty if any of that priority may
+    use it."""
+    reserved_for_preemptor_until: float = NEVER
     """Until when its capacity is reserved for that step, or for work of that priority or more
     urgent work."""
     quarantines: int = 0
@@ -441,11 +444,11 @@
         """Return the age of its last report in seconds; ``None`` if it never reported."""
         return round(now - self.last_report_at, 3) if self.last_report_at > 0 else None
 
-    def reserved_against(self, step: "StepRow", priority: int, now: float) -> bool:
-        """Return whether its capacity is reserved against a step of some priority."""
-        if self.reserved_until <= now or priority < self.reserved_priority:
+    def is_reserved_against(self, step: "StepRow", priority: int, now: float) -> bool:
+        """Return whether preemption has reserved its capacity against a step of some priority."""
+        if self.reserved_for_preemptor_until <= now or priority < self.preemptor_priority:
             return False
-        return priority > self.reserved_priority or self.reserved_for not in ("", step.key)
+        return priority > self.preemptor_priority or self.preemptor_step not in ("", step.key)
 
     def min_clock_ms(self, now: float) -> float:
         """Return the lowest value in ms that the VM's clock can show now."""
