--- a/benchmarks/cellproc.py
+++ b/benchmarks/cellproc.py
@@ -102,7 +102,7 @@
         ]
 
     async def start(self) -> None:
-        """Start the schedulers and wait until every shard is open."""
+        """Start the schedulers and wait until the recovery of every shard is complete."""
         for node in self.nodes:
             await node.start()
         shards = self.nodes[0].settings.core.shards
--- a/benchmarks/procs.py
+++ b/benchmarks/procs.py
@@ -83,7 +83,7 @@
         errors.close()
 
     async def start_all(self) -> None:
-        """Start all daemons and wait until every shard is open."""
+        """Start all daemons and wait until every shard is active at one of them."""
         for name in self.names:
             self.start(name)
         await wait_until(self.settled)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -52,21 +52,21 @@
 
 
 def crash_take_over(seed: int) -> float:
-    """Return the time from a crash until every shard is open again, in seconds."""
+    """Return the seconds from a crash until the recovery of every shard is complete."""
     cell = _cell(seed)
     cell.crash("s1")
     return _time_until_settled(cell)
 
 
 def pause_take_over(seed: int) -> float:
-    """Return the time from the start of a pause until all shards are open elsewhere, in s."""
+    """Return the seconds from a pause until other members have recovered all shards."""
     cell = _cell(seed)
     cell.pause("s1", 30.0)
     return _time_until_settled(cell)
 
 
 def crash_with_vm_take_over(seed: int) -> float:
-    """Return the time until every shard is open after an owner and one of its VMs fail."""
+    """Return the seconds until all shards are recovered after an owner and one of its VMs fail."""
     cell = _cell(seed)
     core = cell.members["s1"].core.state
     vm = next(vm for shard in core.held_shards for vm in core.shard_vms[shard])
--- a/src/sablemount/jobs/systems/placement.py
+++ b/src/sablemount/jobs/systems/placement.py
@@ -98,7 +98,7 @@
         self._caps.begin_round()
         before = set(self._tried)
         if self._round(usable):
-            # A step that was tried in an earlier round and touched since is tried again.
+            # A step that was tried in an earlier round and marked since is tried again.
             state.steps_marked_for_placement &= before & state.open_steps.keys()
             self._tried.clear()
             state.placed_at_capacity_version = self._pass_capacity_version
--- a/src/sablemount/jobs/systems/reservation.py
+++ b/src/sablemount/jobs/systems/reservation.py
@@ -36,7 +36,10 @@
         self._reserved.pop(step.key, None)
 
     def reserve_vms(self, step: StepRow, rows: list[VmRow]) -> None:
-        """Reserve the emptiest of the VMs that a gang may use, since it found no capacity there."""
+        """Reserve those VMs for a gang, of all that it may use, that have the most free cores.
+
+        The gang has found no capacity on them.
+        """
         charge = step.spec.charge
         if sum(charge.copies_in(row.info.capacity) for row in rows) < step.waiting:
             return
--- a/src/sablemount/jobs/systems/trials.py
+++ b/src/sablemount/jobs/systems/trials.py
@@ -33,7 +33,7 @@
     def __init__(self, state: State) -> None:
         self._state = state
         self._isolated_since: dict[str, float] = {}
-        """When each isolated VM was taken."""
+        """When the isolation of each VM began."""
         self._max_isolated = 1
 
     def begin_round(self, usable: list[VmRow]) -> None:
--- a/tests/fakes/cell.py
+++ b/tests/fakes/cell.py
@@ -467,7 +467,7 @@
         ]
 
     def owners(self) -> dict[int, str]:
-        """Return the live member that has opened each shard."""
+        """Return the live member that has completed the recovery of each shard."""
         return {
             shard: member.name
             for member in self.live()
@@ -476,7 +476,7 @@
         }
 
     def settled(self) -> bool:
-        """Return whether every shard is open at a live member."""
+        """Return whether a live member has completed the recovery of each shard."""
         return len(self.owners()) == self.settings.shards
 
     def verdict(self, task: str) -> str:
